--- a/include/runlink/core/contact.hpp
+++ b/include/runlink/core/contact.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What becomes of a bare connection that asks whether a process lives.
+/// Result of a TCP connection attempt that probes whether a process is running.
 #pragma once
 
 #include <string_view>
@@ -7,12 +7,12 @@
 namespace runlink::core
 {
 
-/// What a bare connection tells of a peer.
+/// Result of a TCP liveness probe, which connects and sends no data.
 enum class contact
 {
-    answered, ///< it takes connections
-    refused,  ///< its machine is there, and no process listens
-    silent,   ///< nothing came back in time: a way that is cut, or a machine without power
+    answered, ///< the connection was accepted
+    refused,  ///< the host is up, but no process listens on the port
+    silent,   ///< timeout: the network path is broken, or the host is down
 };
 
 std::string_view to_string(contact it);
--- a/include/runlink/core/leave_marks.hpp
+++ b/include/runlink/core/leave_marks.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Endpoints that are leaving.
+/// Tracks the endpoints that are shutting down.
 #pragma once
 
 #include <map>
@@ -10,20 +10,21 @@
 namespace runlink::core
 {
 
-/// Remembers leave marks. A mark beats any later word that the same process is live; only a newer
-/// process of the endpoint ends it.
+/// Set of leave marks. A leave mark says that one process of an endpoint is shutting down. It takes
+/// precedence over later reports that the same process is live, and ends when a newer process of the endpoint
+/// is seen.
 class leave_marks
 {
 public:
-    /// Notes that a process of an endpoint is leaving. Returns whether that is news.
+    /// Records that a process of an endpoint is leaving. Returns false if this was known or is outdated.
     bool mark(const leave_mark& it);
-    /// Notes that a process of an endpoint was seen alive; a newer process ends an older mark.
+    /// Records that a process of an endpoint is live. Removes the mark of an older process.
     void seen_live(const endpoint_id& endpoint, endpoint_incarnation incarnation);
 
     bool is_leaving(const endpoint_id& endpoint) const;
-    /// The newest process of an endpoint that was heard of.
+    /// The newest known process of an endpoint; zero if none is known.
     endpoint_incarnation incarnation_of(const endpoint_id& endpoint) const;
-    /// The marks in force, for the heartbeat.
+    /// The current marks, sent with each heartbeat.
     std::vector<leave_mark> all() const;
 
 private:
--- a/include/runlink/core/ledger_checkpoints.hpp
+++ b/include/runlink/core/ledger_checkpoints.hpp
@@ -14,7 +14,7 @@
 namespace runlink::core
 {
 
-/// What a checkpoint says: the records made by all segments before `next`.
+/// Contents of a checkpoint: the records produced by all segments with a sequence number below `next`.
 struct loaded_checkpoint
 {
     segment_sequence next{};
@@ -23,9 +23,9 @@
 
 /// Saves and loads checkpoints.
 ///
-/// The records go into parts under names that are never used again; then the header that lists them
-/// is swapped. A reader therefore never mixes two checkpoints. Segments are kept, so that an older
-/// checkpoint that wins a race is still right: its reader reads more segments.
+/// The records are written in parts under unique keys; then the header that lists the parts is replaced with
+/// a compare-and-swap. A reader therefore never mixes two checkpoints. Segments are never deleted, so an
+/// older checkpoint that wins a race is still correct: its reader replays more segments.
 class ledger_checkpoints
 {
 public:
@@ -33,8 +33,9 @@
                        ledger_codec codec);
 
     bool is_saving() const { return saving_; }
+    /// Saves a checkpoint in the background. A failure leaves the previous checkpoint in place.
     void save(segment_sequence next, const std::vector<ledger_record>& records);
-    /// Loads the newest checkpoint; an empty one where there is none.
+    /// Loads the newest checkpoint, or an empty one if there is none.
     void load(std::function<void(result<loaded_checkpoint>)> handler);
 
 private:
@@ -52,7 +53,9 @@
     };
 
     void write_part(const std::shared_ptr<save_task>& task, std::size_t n);
+    /// Replaces the stored header unless it belongs to a checkpoint that is as new.
     void swap_header(const std::shared_ptr<save_task>& task);
+    /// Deletes the parts written so far.
     void abandon(const save_task& task);
     void load_part(const std::shared_ptr<load_task>& task);
 
--- a/include/runlink/core/ledger_types.hpp
+++ b/include/runlink/core/ledger_types.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The records of the ledger: claims on idempotency keys, and bills.
+/// Record types of the ledger, which stores claims on idempotency keys and the bills of requests.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,29 @@
 namespace runlink::core
 {
 
-/// Identity of a bill: of the account and idempotency key, or of the request where it has no key.
+/// Identifies a bill: derived from the account and the idempotency key, or from the request id if the request
+/// has no key.
 using bill_id = strong_string<struct bill_tag>;
+/// Identifies one write, so that its writer can recognise it after a lost reply.
 using batch_id = strong_string<struct batch_tag>;
 
-/// Time of day in milliseconds since 1970, used only to forget old records.
+/// Wall-clock time in milliseconds since 1970-01-01 UTC. Used only to expire records.
 using wall_time = strong_number<struct wall_time_tag>;
 
-/// What an entry does to the record of its bill.
+/// The effect of an entry on the record of its bill.
 enum class entry_kind
 {
-    open,         ///< a new owner took the partition
+    open,         ///< a new owner has taken over the partition; changes no record
     claim,        ///< the request holds the key and may be dispatched
-    settle,       ///< the request has ended; this is its bill
-    release,      ///< the request did not run; the key is free again
-    mark_unknown, ///< the holder died; whether the request ran is not known
+    settle,       ///< the request has ended; the entry is its bill
+    release,      ///< the request did not run; its key may be claimed again
+    mark_unknown, ///< the holder died; it is unknown whether the request ran
 };
 
-/// The answer as sent, where it is small enough to be kept for a repeated call.
+/// The answer sent to the client, if it is small enough to be stored for repeated calls with the same key.
 struct kept_answer
 {
-    bool kept = false;
+    bool kept = false; ///< whether the other fields hold an answer
     int status = 0;
     std::string content_type;
     std::string body;
@@ -43,7 +45,7 @@
     friend bool operator==(const kept_answer&, const kept_answer&) = default;
 };
 
-/// One line of the ledger.
+/// One operation in the ledger's log.
 struct ledger_entry
 {
     entry_kind kind = entry_kind::claim;
@@ -51,11 +53,11 @@
     request_id request;
     incarnation_id holder;
     account_id account;
-    bool keyed = false;
-    bool repeatable = true;
-    std::string fingerprint; ///< digest of the body, to tell a key used for another request
+    bool keyed = false;      ///< the request has an idempotency key
+    bool repeatable = true;  ///< the request may run again if its holder died
+    std::string fingerprint; ///< digest of the body; detects reuse of a key for another request
     wall_time at{};
-    partition_id partition{}; ///< chosen once by the instance that wrote the entry
+    partition_id partition{}; ///< chosen once, by the instance that submits the entry
 
     run_outcome outcome = run_outcome::unknown;
     version_ref version;
@@ -69,7 +71,7 @@
     friend bool operator==(const ledger_entry&, const ledger_entry&) = default;
 };
 
-/// What one write to the store adds to a partition.
+/// The entries that one store write appends to a partition.
 struct ledger_segment
 {
     partition_id partition{};
@@ -81,7 +83,7 @@
     friend bool operator==(const ledger_segment&, const ledger_segment&) = default;
 };
 
-/// Where a bill stands.
+/// State of a bill.
 enum class record_state
 {
     claimed,
@@ -89,7 +91,7 @@
     unknown,
 };
 
-/// The newest entry of a bill, with its state.
+/// State and latest entry of a bill.
 struct ledger_record
 {
     record_state state = record_state::claimed;
@@ -98,13 +100,14 @@
     friend bool operator==(const ledger_record&, const ledger_record&) = default;
 };
 
-/// The number of the segment behind this one.
+/// Returns the sequence number that follows `it`.
 inline segment_sequence next_of(segment_sequence it)
 {
     return segment_sequence{it.value() + 1};
 }
 
-/// Points to the parts of a checkpoint: the live records of a partition before `next`.
+/// Lists the store keys of a checkpoint's parts. The checkpoint holds the records produced by all segments
+/// with a sequence number below `next`.
 struct checkpoint_header
 {
     segment_sequence next{};
@@ -113,31 +116,31 @@
     friend bool operator==(const checkpoint_header&, const checkpoint_header&) = default;
 };
 
-/// How a partition answers an operation.
+/// Result of an operation on a partition.
 enum class ledger_status
 {
-    granted,     ///< the claim is committed: the request may be dispatched
-    in_progress, ///< another request holds the key
-    settled,     ///< the key's request has ended; its record is attached
-    unknown,     ///< whether the key's request ran is not known, and stays so
-    key_reused,  ///< the key was used for another body
+    granted,     ///< the claim is committed; the request may be dispatched
+    in_progress, ///< a live request holds the key
+    settled,     ///< the request with this key has ended; the reply carries its record
+    unknown,     ///< it is permanently unknown whether the request with this key ran
+    key_reused,  ///< the key was used with a different request body
     committed,   ///< the settlement or release is in the ledger
-    duplicate,   ///< the bill was settled before by another request; nothing was added
-    not_owner,   ///< ask the present owner
+    duplicate,   ///< another request settled the bill before; nothing was added
+    not_owner,   ///< this instance does not own the partition; ask the current owner
 };
 
 std::string_view to_string(ledger_status it);
 
-/// Answer of a partition.
+/// Reply of a partition to an operation.
 struct ledger_reply
 {
     ledger_status status = ledger_status::not_owner;
-    ledger_entry record; ///< with `settled`
+    ledger_entry record; ///< set if the status is `settled`
 };
 
 using ledger_reply_handler = std::function<void(const ledger_reply&)>;
 
-/// Serialisation of what the ledger stores. A decoder fails with `internal` on foreign bytes.
+/// Encoders and decoders of the stored data. A decoder fails with `internal` if it can't parse its input.
 struct ledger_codec
 {
     std::function<std::string(const ledger_segment&)> encode_segment;
--- a/include/runlink/core/store_port.hpp
+++ b/include/runlink/core/store_port.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the decisions need of the platform's key-value service, as hooks.
+/// Interface to the platform's key-value store, as used by the core module.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 namespace runlink::core
 {
 
-/// A value and the revision that the service gave it.
+/// A value and the revision that the store assigned to it.
 struct store_value
 {
     std::string data;
     std::uint64_t revision = 0;
 };
 
-/// When a write may take place.
+/// Precondition of a write.
 struct store_condition
 {
     /// The key must not exist.
@@ -33,18 +33,18 @@
 using store_read_handler = std::function<void(result<store_value>)>;
 using store_write_handler = std::function<void(result<std::uint64_t>)>;
 
-/// Asynchronous access to the service. Handlers run on the caller's thread, later.
+/// Asynchronous access to the store. Handlers run on the caller's thread after the call has returned.
 ///
-/// Failures of a read: `store_absent`, `store_unavailable`. Failures of a write: `store_conflict`
-/// (it did not take place), `store_unknown` (it may have taken place).
+/// Reads fail with `store_absent` or `store_unavailable`. Writes fail with `store_conflict` (the precondition
+/// did not hold; nothing was written) or `store_unknown` (the value may have been written).
 struct store_port
 {
     std::function<void(std::string key, store_read_handler)> get;
     std::function<void(std::string key, std::string data, store_condition, store_write_handler)> put;
-    /// Answers as soon as the key is at a revision above `after`; fails with `store_unchanged` after the
-    /// wait.
+    /// Long poll: returns the value once the revision of the key exceeds `after`. Fails with
+    /// `store_unchanged` if `wait` passes first.
     std::function<void(std::string key, std::uint64_t after, milliseconds wait, store_read_handler)> watch;
-    /// Removes a key; nobody waits for it.
+    /// Deletes a key; the result is not reported.
     std::function<void(std::string key)> erase;
 };
 
--- a/src/runlink/core/configuration_json.cpp
+++ b/src/runlink/core/configuration_json.cpp
@@ -18,7 +18,7 @@
 constexpr int max_status = 599;
 constexpr std::size_t sha256_digits = 64;
 
-bool is_ip_number(const std::string& it)
+bool is_ip_address(const std::string& it)
 {
     return !it.empty() && it.find_first_not_of("0123456789abcdefABCDEF.:") == std::string::npos &&
            it.find_first_of(".:") != std::string::npos;
@@ -105,8 +105,8 @@
     endpoint_settings it;
     it.id = endpoint_id{in.required_string("name")};
     it.host = in.required_string("host");
-    if (!it.host.empty() && !is_ip_number(it.host))
-        in.fault("host", "must be an IP number");
+    if (!it.host.empty() && !is_ip_address(it.host))
+        in.fault("host", "must be an IP address");
     it.port = static_cast<std::uint16_t>(in.required_integer("port", 1, 65535));
     it.failure_domain = failure_domain_id{in.required_string("failure_domain")};
     const auto versions = in.optional_strings("versions");
@@ -138,7 +138,7 @@
     return {service_id{in.required_string("name")}, pool_id{in.required_string("pool")}};
 }
 
-/// Names go into tokens, keys and paths: letters, digits, `_`, `.` and `-` only.
+/// Names are part of tokens, store keys and paths, so only letters, digits, `_`, `.` and `-` are allowed.
 bool is_name(const std::string& it)
 {
     constexpr std::size_t max_size = 64;
@@ -152,11 +152,11 @@
     std::set<std::string> seen;
     for (std::size_t n = 0; n < range.size(); ++n)
     {
-        const auto place = path + "[" + std::to_string(n) + "].name";
+        const auto name_path = path + "[" + std::to_string(n) + "].name";
         if (!is_name(range[n].id.str()))
-            faults.add(place, "must be at most 64 letters, digits, '_', '.' and '-'");
+            faults.add(name_path, "must be at most 64 letters, digits, '_', '.' and '-'");
         if (!seen.insert(range[n].id.str()).second)
-            faults.add(place, "stands twice");
+            faults.add(name_path, "must be unique");
     }
 }
 
@@ -169,7 +169,7 @@
             const auto path = "$.pools[" + std::to_string(p) + "].endpoints[" + std::to_string(e) + "]";
             const auto& endpoint = it.pools[p].endpoints[e];
             if (!seen.insert(endpoint.id.str()).second)
-                faults.add(path + ".name", "stands twice");
+                faults.add(path + ".name", "must be unique");
             for (std::size_t v = 0; v < endpoint.versions.size(); ++v)
                 if (it.find_version(endpoint.versions[v]) == nullptr)
                     faults.add(path + ".versions[" + std::to_string(v) + "]", "no such version");
@@ -185,7 +185,7 @@
         const auto& account = it.accounts[a];
         for (std::size_t n = 0; n < account.key_hashes.size(); ++n)
             if (!hashes.insert(account.key_hashes[n]).second)
-                faults.add(path + ".key_hashes[" + std::to_string(n) + "]", "stands twice");
+                faults.add(path + ".key_hashes[" + std::to_string(n) + "]", "must be unique");
         for (std::size_t n = 0; n < account.allow.size(); ++n)
         {
             const auto ref = split_version(account.allow[n]);
@@ -280,7 +280,7 @@
 }
 
 template <class Range>
-json list_of(const Range& range)
+json json_array_of(const Range& range)
 {
     json out = json::array();
     for (const auto& it : range)
@@ -321,9 +321,9 @@
     json doc{{"deployment", it.deployment},
              {"revision", it.revision.value()},
              {"operator_key_hashes", it.operator_key_hashes},
-             {"accounts", list_of(it.accounts)},
-             {"models", list_of(it.models)},
-             {"pools", list_of(it.pools)},
+             {"accounts", json_array_of(it.accounts)},
+             {"models", json_array_of(it.models)},
+             {"pools", json_array_of(it.pools)},
              {"services", services}};
     if (!it.operation_id.empty())
         doc["operation_id"] = it.operation_id;
--- a/src/runlink/core/configuration_keeper.cpp
+++ b/src/runlink/core/configuration_keeper.cpp
@@ -14,23 +14,24 @@
 void configuration_keeper::tick(time_point now)
 {
     now_ = now;
-    if (!started_)
-        started_ = now;
-    if (now >= watch_again_)
+    if (!started_at_)
+        started_at_ = now;
+    if (now >= next_watch_)
         watch(now);
     withdraw_next(now);
 }
 
 void configuration_keeper::watch(time_point now)
 {
-    // A watch that is not answered in time is lost: the serial number makes its late answer harmless.
+    // A watch without an answer in time is replaced. A late answer is applied, but by its serial number it
+    // doesn't schedule another watch.
     watching_ = true;
     const auto serial = ++watch_serial_;
     const auto handler = [this, serial](const result<store_value>& it) { on_watched(serial, it); };
-    watch_again_ = now + options_.watch_wait + options_.read_timeout;
+    next_watch_ = now + options_.watch_wait + options_.read_timeout;
     if (store_revision_ == 0)
     {
-        watch_again_ = now + options_.read_timeout;
+        next_watch_ = now + options_.read_timeout;
         return hooks_.store.get(key_of(deployment_), handler);
     }
     hooks_.store.watch(key_of(deployment_), store_revision_, options_.watch_wait, handler);
@@ -39,18 +40,18 @@
 void configuration_keeper::on_watched(std::uint64_t serial, const result<store_value>& it)
 {
     if (it)
-        take(it.value());
+        apply_stored(it.value());
     const auto code = it ? errc::internal : it.error().code;
     const bool reached = it || code == errc::store_unchanged || code == errc::store_absent;
     if (reached)
-        store_seen_ = now_;
+        store_answered_at_ = now_;
     if (serial != watch_serial_)
         return;
-    const bool again_now = it || code == errc::store_unchanged;
-    watch_again_ = again_now ? now_ : now_ + options_.retry_delay;
+    const bool watch_at_once = it || code == errc::store_unchanged;
+    next_watch_ = watch_at_once ? now_ : now_ + options_.retry_delay;
 }
 
-void configuration_keeper::take(const store_value& it)
+void configuration_keeper::apply_stored(const store_value& it)
 {
     auto parsed = parse_configuration(it.data);
     store_revision_ = std::max(store_revision_, it.revision);
@@ -69,11 +70,11 @@
 void configuration_keeper::on_peer_revision(time_point now, const member_info& peer, config_revision revision,
                                             bool peer_ready)
 {
-    newest_heard_ = std::max(newest_heard_, revision);
-    heard_ready_peer_ = heard_ready_peer_ || peer_ready;
-    if (revision <= this->revision() || now < asked_peer_)
+    newest_peer_revision_ = std::max(newest_peer_revision_, revision);
+    has_ready_peer_ = has_ready_peer_ || peer_ready;
+    if (revision <= this->revision() || now < next_peer_request_)
         return;
-    asked_peer_ = now + options_.retry_delay / 10;
+    next_peer_request_ = now + options_.retry_delay / 10;
     hooks_.ask_peer(peer);
 }
 
@@ -97,7 +98,7 @@
         configuration stored;
         if (found)
         {
-            take(found.value());
+            apply_stored(found.value());
             auto parsed = parse_configuration(found.value().data);
             if (!parsed)
                 return handler(parsed.error());
@@ -106,8 +107,9 @@
         if (found && stored.operation_id == it.next.operation_id)
             return handler(stored.revision);
         if (stored.revision != it.base())
-            return handler(failure{errc::plan_conflict, "$.configuration.revision: the configuration is at " +
-                                                            std::to_string(stored.revision.value())});
+            return handler(
+                failure{errc::plan_conflict, "$.configuration.revision: the store holds revision " +
+                                                 std::to_string(stored.revision.value())});
         write(std::move(it), found ? found.value().revision : 0, handler);
     };
     hooks_.store.get(key_of(deployment_), on_found);
@@ -121,40 +123,43 @@
     const auto on_written = [this, it = std::move(it), handler](const result<std::uint64_t>& written) mutable
     {
         if (!written)
-            return settle(std::move(it), handler);
+            return resolve_unknown_write(std::move(it), handler);
         const auto revision = it.next.revision;
         store_revision_ = std::max(store_revision_, written.value());
         apply(it.next);
-        record(it.next);
+        write_history(it.next);
         handler(revision);
     };
     hooks_.store.put(key_of(deployment_), json, condition, on_written);
 }
 
-void configuration_keeper::record(const configuration& it)
+void configuration_keeper::write_history(const configuration& it)
 {
     hooks_.store.put(history_key_of(deployment_, it.revision), print_configuration(it),
                      store_condition::create(), [](const result<std::uint64_t>&) {});
 }
 
-void configuration_keeper::settle(plan it, const confirm_handler& handler)
+void configuration_keeper::resolve_unknown_write(plan it, const confirm_handler& handler)
 {
     const auto on_found = [this, it = std::move(it), handler](const result<store_value>& found)
     {
         if (!found)
-            return handler(failure{errc::store_unknown, "configuration: confirm the same plan again",
-                                   options_.retry_delay});
-        take(found.value());
+            return handler(
+                failure{errc::store_unknown,
+                        "configuration: unknown whether the plan was written; confirm the same plan again",
+                        options_.retry_delay});
+        apply_stored(found.value());
         const auto stored = parse_configuration(found.value().data);
         if (stored && stored.value().operation_id == it.next.operation_id)
         {
-            record(stored.value());
+            write_history(stored.value());
             return handler(stored.value().revision);
         }
         if (stored && stored.value().revision == it.base())
-            return handler(
-                failure{errc::store_unavailable, "configuration: not written", options_.retry_delay});
-        handler(failure{errc::plan_conflict, "$.configuration.revision: the configuration has changed"});
+            return handler(failure{errc::store_unavailable, "configuration: the plan was not written",
+                                   options_.retry_delay});
+        handler(
+            failure{errc::plan_conflict, "$.configuration.revision: the stored configuration has changed"});
     };
     hooks_.store.get(key_of(deployment_), on_found);
 }
@@ -167,7 +172,7 @@
 
 void configuration_keeper::withdraw_next(time_point now)
 {
-    if (withdrawals_.empty() || withdrawing_ || !current_ || now < withdraw_again_)
+    if (withdrawals_.empty() || withdrawing_ || !current_ || now < next_withdrawal_)
         return;
     const auto version = withdrawals_.front();
     const auto* settings = current_->find_version(version);
@@ -177,7 +182,7 @@
         return;
     }
     withdrawing_ = true;
-    withdraw_again_ = now + options_.retry_delay;
+    next_withdrawal_ = now + options_.retry_delay;
     plan it;
     it.next = with_version_withdrawn(*current_, version);
     it.next.revision = config_revision{current_->revision.value() + 1};
@@ -188,24 +193,24 @@
 
 bool configuration_keeper::store_reached(time_point now) const
 {
-    return store_seen_ && now - *store_seen_ <= options_.watch_wait + options_.cut_off_after;
+    return store_answered_at_ && now - *store_answered_at_ <= options_.watch_wait + options_.cut_off_after;
 }
 
 bool configuration_keeper::is_cut_off(time_point now, const membership& members) const
 {
     const bool most_live = members.live_count() * 2 > options_.expected_instances;
-    const bool early = started_ && now - *started_ <= options_.cut_off_after;
-    return !store_reached(now) && !most_live && !early;
+    const bool is_starting = started_at_ && now - *started_at_ <= options_.cut_off_after;
+    return !store_reached(now) && !most_live && !is_starting;
 }
 
 bool configuration_keeper::is_ready(time_point now, const membership& members) const
 {
     if (!current_ || is_cut_off(now, members))
         return false;
-    if (store_seen_)
+    if (store_answered_at_)
         return true;
-    const bool heard_all = started_ && now - *started_ >= options_.peer_grace;
-    return heard_all && heard_ready_peer_ && revision() >= newest_heard_;
+    const bool has_waited_for_peers = started_at_ && now - *started_at_ >= options_.peer_grace;
+    return has_waited_for_peers && has_ready_peer_ && revision() >= newest_peer_revision_;
 }
 
 } // namespace runlink::core
--- a/src/runlink/core/configuration_test.cpp
+++ b/src/runlink/core/configuration_test.cpp
@@ -17,13 +17,13 @@
 
 } // namespace
 
-TEST_CASE("a configuration that was printed reads the same")
+TEST_CASE("parsing a printed configuration returns an equal one")
 {
     const auto it = runlink::tests::base_configuration();
     CHECK(parse_configuration(print_configuration(it)).value() == it);
 }
 
-TEST_CASE("faults are found all at once, with their paths")
+TEST_CASE("all faults are reported at once, with their paths")
 {
     const auto faults = faults_of(R"({"deployment": 7, "colour": "red", "models": [{"name": "m", "versions": [
         {"name": "v", "state": "asleep", "share_percent": 101}]}], "pools": "none"})");
@@ -34,17 +34,17 @@
     CHECK(faults.find("$.pools: must be an array") != std::string::npos);
 }
 
-TEST_CASE("dangling names, doubled names and host names are faults")
+TEST_CASE("references to missing names, duplicate names and host names are faults")
 {
     CHECK(faults_of(R"({"deployment":"d","accounts":[{"name":"a","allow":["m/v"]}]})") ==
           "$.accounts[0].allow[0]: no such model or version");
     CHECK(faults_of(R"({"deployment":"d","models":[{"name":"m"},{"name":"m"}]})") ==
-          "$.models[1].name: stands twice");
+          "$.models[1].name: must be unique");
     CHECK(
         faults_of(R"({"deployment":"d","models":[{"name":"m~"}]})").starts_with("$.models[0].name: must be"));
     CHECK(faults_of(R"({"deployment":"d","pools":[{"name":"p","endpoints":[
         {"name":"e","host":"engine.local","port":1,"failure_domain":"f"}]}]})") ==
-          "$.pools[0].endpoints[0].host: must be an IP number");
+          "$.pools[0].endpoints[0].host: must be an IP address");
     CHECK(faults_of(R"({"deployment":"d","deployment":"e"})") ==
           "$: member 'deployment' stands twice in one object");
     CHECK(faults_of("{") == "$: malformed JSON at byte 2");
@@ -52,7 +52,7 @@
           "$.services[0].pool: no such pool");
 }
 
-TEST_CASE("an account allows what it lists and nothing else")
+TEST_CASE("an account allows exactly the models and versions that it lists")
 {
     account_settings it;
     it.allow = {"a/*", "b/1"};
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("a plan names its changes and survives the way to the operator and back")
+TEST_CASE("a plan lists its changes and is unchanged after printing and parsing")
 {
     const auto base = runlink::tests::base_configuration();
     const auto it =
@@ -84,7 +84,7 @@
     CHECK(parse_plan(text, "secret", mac).value().next == it.next);
 }
 
-TEST_CASE("a plan that was edited, or is of another deployment, is refused")
+TEST_CASE("a plan that was edited or belongs to another deployment is rejected")
 {
     const auto base = runlink::tests::base_configuration();
     const auto it =
@@ -97,7 +97,7 @@
     CHECK(parse_plan("{", "secret", mac).error().code == errc::plan_invalid);
 }
 
-TEST_CASE("an intent is read strictly")
+TEST_CASE("an intent is parsed strictly")
 {
     const auto base = runlink::tests::base_configuration();
     const auto fault = [&](const std::string& intent) { return make_plan(base, intent, "op").error(); };
@@ -110,7 +110,7 @@
     CHECK(fault(R"({"configuration":{"deployment":"test","x":1}})").code == errc::configuration_invalid);
 }
 
-TEST_CASE("withdrawing the last serving version puts the retiring one back")
+TEST_CASE("withdrawing the last serving version makes the retiring one serve again")
 {
     auto it = runlink::tests::base_configuration();
     it.models[0].versions[0].state = version_state::retiring;
--- a/src/runlink/core/ledger_checkpoints.cpp
+++ b/src/runlink/core/ledger_checkpoints.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Rough size of a record once it is serialised, without its answer.
+/// Estimated size of a serialised record without its answer.
 constexpr std::size_t record_overhead_bytes = 256;
 
 std::size_t size_estimate(const ledger_record& it)
@@ -87,7 +87,7 @@
             return abandon(*task);
         const auto on_swapped = [this, task, old](const result<std::uint64_t>& it)
         {
-            // With the reply lost, the new header may stand: keep the parts of both.
+            // If the reply was lost, either header may be stored: keep the parts of both.
             saving_ = false;
             if (it)
                 for (const auto& e : old.part_keys)
--- a/src/runlink/core/ledger_client.cpp
+++ b/src/runlink/core/ledger_client.cpp
@@ -26,7 +26,7 @@
     const auto home = stable_hash(entry.bill.str()) % options_.partitions;
     if (entry.keyed)
         return partition_id{home};
-    // All of an instance's requests without a key share one partition, so that they share its writes.
+    // Requests without a key all go to one partition that this instance owns, so that they share its writes.
     for (std::uint64_t n = 0; n < options_.partitions; ++n)
     {
         const partition_id it{n};
@@ -45,9 +45,9 @@
     it.entry.partition = choose_partition(it.entry);
     it.keep_on_failure = keep_on_failure;
     it.on_claim = std::move(handler);
-    const auto trouble = troubled_.find(it.entry.partition);
-    if (trouble != troubled_.end() && now < trouble->second)
-        return it.on_claim(unavailable(trouble->second - now));
+    const auto unresponsive = unresponsive_until_.find(it.entry.partition);
+    if (unresponsive != unresponsive_until_.end() && now < unresponsive->second)
+        return it.on_claim(unavailable(unresponsive->second - now));
     start(now, std::move(it));
 }
 
@@ -74,7 +74,8 @@
 {
     it.started = now;
     const auto id = next_id_++;
-    const bool copy_at_once = it.entry.kind == entry_kind::settle && troubled_.contains(it.entry.partition);
+    const bool copy_at_once =
+        it.entry.kind == entry_kind::settle && unresponsive_until_.contains(it.entry.partition);
     auto& op = operations_.emplace(id, std::move(it)).first->second;
     if (copy_at_once)
         make_copies(op);
@@ -105,7 +106,7 @@
         return;
     auto it = std::move(found->second);
     operations_.erase(found);
-    troubled_.erase(it.entry.partition);
+    unresponsive_until_.erase(it.entry.partition);
     release_copies(it);
     if (it.on_claim)
         it.on_claim(reply);
@@ -124,12 +125,12 @@
 
 void ledger_client::tick_operation(time_point now, std::uint64_t id, operation& it)
 {
-    if (it.on_claim && now - it.started >= options_.claim_patience)
-        return give_up_claim(now, id);
-    if (it.on_settle && now - it.started >= options_.settle_limit)
+    if (it.on_claim && now - it.started >= options_.claim_timeout)
+        return fail_claim(now, id);
+    if (it.on_settle && now - it.started >= options_.settle_timeout)
         report_safety(it, bill_safety::at_risk);
     const bool settling = it.entry.kind == entry_kind::settle;
-    if (settling && it.holders.empty() && now - it.started >= options_.settle_patience)
+    if (settling && it.holders.empty() && now - it.started >= options_.copy_delay)
         make_copies(it);
     if (now - it.sent < options_.resend_after)
         return;
@@ -138,20 +139,20 @@
     send(now, id);
 }
 
-void ledger_client::give_up_claim(time_point now, std::uint64_t id)
+void ledger_client::fail_claim(time_point now, std::uint64_t id)
 {
     auto it = std::move(operations_.at(id));
     operations_.erase(id);
-    troubled_[it.entry.partition] = now + options_.claim_patience;
-    // The claim may still be committed: free the key behind it, in the same order.
+    unresponsive_until_[it.entry.partition] = now + options_.claim_timeout;
+    // The claim may still be committed later: send a release after it, in the same order.
     if (!it.keep_on_failure)
         release(now, it.entry);
-    it.on_claim(unavailable(options_.claim_patience));
+    it.on_claim(unavailable(options_.claim_timeout));
 }
 
 void ledger_client::make_copies(operation& it)
 {
-    troubled_.try_emplace(it.entry.partition, time_point{});
+    unresponsive_until_.try_emplace(it.entry.partition, time_point{});
     std::erase_if(it.holders, [&](const auto& e) { return hooks_.find_member(e.incarnation) == nullptr; });
     std::erase_if(it.confirmed, [&](const auto& e) { return hooks_.find_member(e) == nullptr; });
     for (const auto& e : hooks_.copy_holders(options_.copies))
--- a/src/runlink/core/ledger_partition.cpp
+++ b/src/runlink/core/ledger_partition.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Rough size of an entry once it is serialised, without the answer and the names.
+/// Estimated size of a serialised entry without its answer and ids.
 constexpr std::size_t entry_overhead_bytes = 128;
 
 std::size_t size_estimate(const ledger_entry& it)
@@ -158,10 +158,10 @@
                               ledger_reply_handler handler)
 {
     const auto* held = find(entry.bill);
-    auto before = held == nullptr ? std::nullopt : std::optional{*held};
+    auto replaced = held == nullptr ? std::nullopt : std::optional{*held};
     apply(entry);
-    pending_.push_back({std::move(entry), std::move(reply), std::move(handler), std::move(before)});
-    pump(now);
+    pending_.push_back({std::move(entry), std::move(reply), std::move(handler), std::move(replaced)});
+    write_pending(now);
 }
 
 void ledger_partition::answer_when_committed(const bill_id& bill, ledger_reply reply,
@@ -192,17 +192,17 @@
 
 void ledger_partition::answer_when_verified(time_point now, ledger_reply reply, ledger_reply_handler handler)
 {
-    // A write under way finds out by itself.
-    if (in_flight_ || now - verified_ <= options_.verified_for)
+    // A write in flight detects another owner by itself.
+    if (in_flight_ || now - verified_at_ <= options_.verified_lifetime)
         return handler(reply);
-    const auto on_found = [this, tenure = tenure_, reply = std::move(reply),
+    const auto on_found = [this, epoch = epoch_, reply = std::move(reply),
                            handler = std::move(handler)](const result<store_value>& it)
     {
-        const bool superseded = it && tenure == tenure_ && !in_flight_;
+        const bool superseded = it && epoch == epoch_ && !in_flight_;
         if (superseded)
             restart();
         else if (!it && it.error().code == errc::store_absent)
-            verified_ = now_;
+            verified_at_ = now_;
         handler(superseded ? ledger_reply{ledger_status::not_owner, {}} : reply);
     };
     hooks_.store.get(key_of(next_), on_found);
@@ -220,10 +220,10 @@
     now_ = now;
     if (retry_ && now >= retry_at_)
         std::exchange(retry_, nullptr)();
-    pump(now);
+    write_pending(now);
 }
 
-void ledger_partition::pump(time_point now)
+void ledger_partition::write_pending(time_point now)
 {
     if (state_ != state::serving || in_flight_ || pending_.empty() || retry_)
         return;
@@ -256,7 +256,7 @@
 {
     ++writes_;
     hooks_.store.put(key_of(next_), in_flight_->bytes, store_condition::create(),
-                     in_tenure<std::uint64_t>([this](const auto& it) { on_written(it); }));
+                     in_epoch<std::uint64_t>([this](const auto& it) { on_written(it); }));
 }
 
 void ledger_partition::on_written(const result<std::uint64_t>& it)
@@ -268,7 +268,7 @@
 
 void ledger_partition::read_back()
 {
-    hooks_.store.get(key_of(next_), in_tenure<store_value>([this](const auto& it) { on_read_back(it); }));
+    hooks_.store.get(key_of(next_), in_epoch<store_value>([this](const auto& it) { on_read_back(it); }));
 }
 
 void ledger_partition::on_read_back(const result<store_value>& it)
@@ -287,23 +287,23 @@
 {
     auto done = std::move(*in_flight_);
     in_flight_.reset();
-    verified_ = now_;
+    verified_at_ = now_;
     next_ = next_of(next_);
     for (auto& it : done.waiters)
         it.handler(it.reply);
     maybe_checkpoint();
-    pump(now_);
+    write_pending(now_);
 }
 
 void ledger_partition::step_down()
 {
-    ++tenure_;
+    ++epoch_;
     state_ = state::idle;
-    std::vector<waiting> failed;
+    std::vector<pending_operation> failed;
     if (in_flight_)
         failed = std::move(in_flight_->waiters);
     in_flight_.reset();
-    opening_.reset();
+    open_batch_.reset();
     retry_ = nullptr;
     for (auto& it : pending_)
         failed.push_back(std::move(it));
@@ -333,7 +333,7 @@
     if (++since_checkpoint_ < options_.checkpoint_every || checkpoints_.is_saving())
         return;
     since_checkpoint_ = 0;
-    forget_old();
+    erase_expired();
     checkpoints_.save(next_, committed_records());
 }
 
@@ -341,27 +341,27 @@
 {
     std::map<bill_id, std::optional<ledger_record>> uncommitted;
     for (const auto& it : pending_)
-        uncommitted.try_emplace(it.entry.bill, it.before);
+        uncommitted.try_emplace(it.entry.bill, it.replaced);
     std::vector<ledger_record> out;
     for (const auto& [bill, record] : records_)
         if (!uncommitted.contains(bill))
             out.push_back(record);
-    for (const auto& [unused, before] : uncommitted)
-        if (before)
-            out.push_back(*before);
+    for (const auto& [unused, replaced] : uncommitted)
+        if (replaced)
+            out.push_back(*replaced);
     return out;
 }
 
-void ledger_partition::forget_old()
+void ledger_partition::erase_expired()
 {
     const auto now = hooks_.wall_clock().value();
-    const auto is_old = [&](const auto& it)
+    const auto is_expired = [&](const auto& it)
     {
         const auto& entry = it.second.entry;
-        const auto horizon = entry.keyed ? options_.keyed_horizon_ms : options_.unkeyed_horizon_ms;
-        return entry.at.value() + horizon < now;
+        const auto retention = entry.keyed ? options_.keyed_retention_ms : options_.unkeyed_retention_ms;
+        return entry.at.value() + retention < now;
     };
-    std::erase_if(records_, is_old);
+    std::erase_if(records_, is_expired);
 }
 
 void ledger_partition::retry_later(std::function<void()> action)
--- a/src/runlink/core/ledger_recovery.cpp
+++ b/src/runlink/core/ledger_recovery.cpp
@@ -1,4 +1,4 @@
-// The part of a partition that takes it over: reads what is there, then fences the former owner.
+// Takeover of a partition: reads the checkpoint and the segments, then fences the former owner.
 
 #include "runlink/core/ledger_partition.hpp"
 
@@ -8,7 +8,7 @@
 {
 void ledger_partition::read_checkpoint()
 {
-    checkpoints_.load(in_tenure<loaded_checkpoint>(
+    checkpoints_.load(in_epoch<loaded_checkpoint>(
         [this](const result<loaded_checkpoint>& it)
         {
             if (!it)
@@ -22,7 +22,7 @@
 
 void ledger_partition::read_next()
 {
-    hooks_.store.get(key_of(next_), in_tenure<store_value>([this](const auto& it) { on_segment(it); }));
+    hooks_.store.get(key_of(next_), in_epoch<store_value>([this](const auto& it) { on_segment(it); }));
 }
 
 void ledger_partition::on_segment(const result<store_value>& it)
@@ -32,14 +32,14 @@
     if (!it)
         return retry_later([this] { read_next(); });
     const auto found = hooks_.codec.decode_segment(it.value().data);
-    if (opening_ && found && found.value().batch == opening_->segment.batch)
+    if (open_batch_ && found && found.value().batch == open_batch_->segment.batch)
     {
         next_ = next_of(next_);
-        opening_.reset();
+        open_batch_.reset();
         state_ = state::serving;
         return;
     }
-    opening_.reset();
+    open_batch_.reset();
     if (found)
         for (const auto& e : found.value().entries)
             apply(e);
@@ -53,17 +53,17 @@
     it.segment.partition = id_;
     it.segment.sequence = next_;
     it.segment.owner = self_;
-    it.segment.batch = opening_ ? opening_->segment.batch : hooks_.next_batch();
+    it.segment.batch = open_batch_ ? open_batch_->segment.batch : hooks_.next_batch();
     ledger_entry mark;
     mark.kind = entry_kind::open;
     mark.holder = self_;
     mark.at = hooks_.wall_clock();
     it.segment.entries.push_back(std::move(mark));
     it.bytes = hooks_.codec.encode_segment(it.segment);
-    opening_ = std::move(it);
+    open_batch_ = std::move(it);
     ++writes_;
-    hooks_.store.put(key_of(next_), opening_->bytes, store_condition::create(),
-                     in_tenure<std::uint64_t>([this](const auto& r) { on_opened(r); }));
+    hooks_.store.put(key_of(next_), open_batch_->bytes, store_condition::create(),
+                     in_epoch<std::uint64_t>([this](const auto& r) { on_opened(r); }));
 }
 
 void ledger_partition::on_opened(const result<std::uint64_t>& it)
@@ -71,7 +71,7 @@
     if (!it)
         return it.error().code == errc::store_conflict ? read_next() : retry_later([this] { read_next(); });
     next_ = next_of(next_);
-    opening_.reset();
+    open_batch_.reset();
     state_ = state::serving;
 }
 
--- a/src/runlink/core/ledger_test.cpp
+++ b/src/runlink/core/ledger_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Partitions of several owners on one store; store calls are answered as soon as `drain` runs.
+/// Partitions of several owners that share one store. `drain` answers the store calls.
 struct fixture
 {
     manual_clock clock;
@@ -76,10 +76,10 @@
 } // namespace
 
 TEST_CASE_METHOD(fixture,
-                 "a new owner knows every record, from checkpoints in parts and the segments behind them")
+                 "a new owner recovers every record from a checkpoint in parts and the segments after it")
 {
     options.checkpoint_every = 8;
-    options.segment_bytes = 2000; // several parts
+    options.segment_bytes = 2000; // splits a checkpoint into several parts
     auto a = owner("a");
     for (int n = 0; n < 100; ++n)
         REQUIRE(run(*a, entry(entry_kind::settle, "k" + std::to_string(n))) == ledger_status::committed);
@@ -92,11 +92,11 @@
     for (const auto& [key, unused] : store.values())
         parts += key.find("/checkpoint/") != std::string::npos ? 1 : 0;
     CHECK(parts > 1);
-    CHECK(parts < 30); // the parts of older checkpoints are gone
+    CHECK(parts < 30); // the parts of older checkpoints are deleted
 }
 
-TEST_CASE_METHOD(fixture,
-                 "an owner that was overtaken grants nothing, and becomes the owner again by reading on")
+TEST_CASE_METHOD(
+    fixture, "a fenced owner grants nothing, and owns the partition again after it has read the new segments")
 {
     auto a = owner("a");
     auto b = owner("b");
@@ -107,12 +107,12 @@
     CHECK(run(*a, claim) == ledger_status::in_progress);
 }
 
-TEST_CASE_METHOD(fixture, "records are forgotten after their horizon, and kept until then")
+TEST_CASE_METHOD(fixture, "records are erased after their retention time, and kept until then")
 {
     options.checkpoint_every = 1;
     auto a = owner("a");
     run(*a, entry(entry_kind::settle, "old"));
-    wall_ms += options.keyed_horizon_ms - 1000;
+    wall_ms += options.keyed_retention_ms - 1000;
     run(*a, entry(entry_kind::settle, "new"));
     CHECK(a->find(bill_id{"old"}) != nullptr);
     wall_ms += 2000;
@@ -121,7 +121,7 @@
     CHECK(a->find(bill_id{"new"}) != nullptr);
 }
 
-TEST_CASE_METHOD(fixture, "operations that wait together go into one segment")
+TEST_CASE_METHOD(fixture, "operations that are pending together are written in one segment")
 {
     auto a = owner("a");
     const auto before = store.writes;
--- a/src/runlink/core/order_holder.cpp
+++ b/src/runlink/core/order_holder.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-/// The lease as stored: the fencing number, a blank and the holder.
+/// Formats the stored lease: the fencing number, a space and the holder.
 std::string print_lease(fencing_number fencing, const instance_id& holder)
 {
     return std::to_string(fencing.value()) + " " + holder.str();
 }
 
-fencing_number fencing_of(const std::string& lease)
+fencing_number parse_fencing(const std::string& lease)
 {
     std::uint64_t n = 0;
     std::from_chars(lease.data(), lease.data() + lease.size(), n);
@@ -26,7 +26,7 @@
 
 order_holder::order_holder(pool_id pool, instance_id self, order_options options, order_hooks hooks)
     : pool_{std::move(pool)}, self_{std::move(self)}, options_{options}, hooks_{std::move(hooks)},
-      loads_{options.loads_per_second, 1}
+      load_rate_{options.loads_per_second, 1}
 {
 }
 
@@ -35,65 +35,66 @@
     now_ = now;
     if (lease_until_ && now >= *lease_until_)
         lease_until_.reset();
-    if (now >= next_contention_)
-        contend(now);
+    if (now >= next_renewal_)
+        renew_or_acquire(now);
     if (may_order(now))
-        act();
+        start_order();
 }
 
 bool order_holder::may_order(time_point now) const
 {
-    return lease_until_ && now >= not_before_ && now + options_.margin < *lease_until_;
+    return lease_until_ && now >= orders_start_at_ && now + options_.lease_margin < *lease_until_;
 }
 
-void order_holder::contend(time_point now)
+void order_holder::renew_or_acquire(time_point now)
 {
-    next_contention_ = now + options_.renew_every;
-    hooks_.store.get(key(), [this, now](const result<store_value>& it) { on_found(now, it); });
+    next_renewal_ = now + options_.renew_every;
+    hooks_.store.get(key(), [this, now](const result<store_value>& it) { on_lease_read(now, it); });
 }
 
-void order_holder::on_found(time_point asked, const result<store_value>& it)
+void order_holder::on_lease_read(time_point requested_at, const result<store_value>& it)
 {
     if (!it && it.error().code == errc::store_absent)
-        return take(asked, fencing_number{1}, store_condition::create(), false);
+        return write_lease(requested_at, fencing_number{1}, store_condition::create(), false);
     if (!it)
         return;
     const auto& found = it.value();
-    const auto fencing = fencing_of(found.data);
-    const bool mine = lease_until_ && found.revision == lease_revision_;
-    if (mine)
-        return take(asked, fencing, store_condition::match(found.revision), false);
+    const auto fencing = parse_fencing(found.data);
+    const bool is_own = lease_until_ && found.revision == lease_revision_;
+    if (is_own)
+        return write_lease(requested_at, fencing, store_condition::match(found.revision), false);
     lease_until_.reset();
-    if (!seen_ || seen_->revision != found.revision)
-        seen_ = {found.data, found.revision, now_};
-    if (now_ - seen_->since < options_.lease)
+    if (!foreign_lease_ || foreign_lease_->revision != found.revision)
+        foreign_lease_ = {found.data, found.revision, now_};
+    if (now_ - foreign_lease_->since < options_.lease)
         return;
-    take(asked, fencing_number{fencing.value() + 1}, store_condition::match(found.revision), true);
+    write_lease(requested_at, fencing_number{fencing.value() + 1}, store_condition::match(found.revision),
+                true);
 }
 
-void order_holder::take(time_point asked, fencing_number next, const store_condition& condition,
-                        bool wait_out)
+void order_holder::write_lease(time_point requested_at, fencing_number next, const store_condition& condition,
+                               bool is_takeover)
 {
-    const auto on_written = [this, asked, next, wait_out](const result<std::uint64_t>& it)
+    const auto on_written = [this, requested_at, next, is_takeover](const result<std::uint64_t>& it)
     {
-        // With the reply lost the lease may be ours in the store; it is not used, and runs out.
+        // If the reply was lost, the store may hold a lease of this instance; it is left to expire unused.
         if (!it)
             return;
-        lease_until_ = asked + options_.lease;
+        lease_until_ = requested_at + options_.lease;
         lease_revision_ = it.value();
         fencing_ = next;
-        seen_.reset();
-        if (wait_out)
-            not_before_ = now_ + options_.longest_order;
+        foreign_lease_.reset();
+        if (is_takeover)
+            orders_start_at_ = now_ + options_.max_order_time;
     };
     hooks_.store.put(key(), print_lease(next, self_), condition, on_written);
 }
 
-void order_holder::act()
+void order_holder::start_order()
 {
-    if (std::exchange(acting_, true))
+    if (std::exchange(is_ordering_, true))
         return;
-    hooks_.observe([this](const observed_versions& it) { order_next(it); });
+    hooks_.observe([this](const observed_versions& it) { send_next_order(it); });
 }
 
 bool order_holder::is_last_copy(const observed_versions& observed, const version_ref& version) const
@@ -105,17 +106,17 @@
     return used && copies <= 1;
 }
 
-void order_holder::order_next(const observed_versions& observed)
+void order_holder::send_next_order(const observed_versions& observed)
 {
-    acting_ = false;
-    // The answer may have come late: the lease counts now, not when it was asked for.
+    is_ordering_ = false;
+    // The observation may arrive late: the lease must be valid now, not when the observation was requested.
     if (!may_order(now_))
         return;
     const auto send = [this](endpoint_order order)
     {
-        acting_ = true;
+        is_ordering_ = true;
         order.fencing = fencing_;
-        hooks_.send(order, [this](bool) { acting_ = false; });
+        hooks_.send(order, [this](bool) { is_ordering_ = false; });
     };
     for (const auto& [endpoint, wanted] : desired_)
     {
@@ -123,7 +124,7 @@
         const auto held = found == observed.end() ? std::set<version_ref>{} : found->second;
         for (const auto& version : wanted)
             if (!held.contains(version))
-                return loads_.try_take(now_) ? send({endpoint, version, true, {}}) : void();
+                return load_rate_.try_take(now_) ? send({endpoint, version, true, {}}) : void();
     }
     for (const auto& [endpoint, held] : observed)
     {
--- a/src/runlink/core/plan.cpp
+++ b/src/runlink/core/plan.cpp
@@ -13,14 +13,14 @@
 
 using nlohmann::json;
 
-/// Turns arrays of named objects into objects by name, so that paths do not depend on positions.
-json by_name(const json& it)
+/// Converts arrays of named objects to objects keyed by name, so that paths don't depend on array positions.
+json keyed_by_name(const json& it)
 {
     if (it.is_object())
     {
         json out = json::object();
         for (const auto& [name, value] : it.items())
-            out[name] = by_name(value);
+            out[name] = keyed_by_name(value);
         return out;
     }
     const bool named = it.is_array() && !it.empty() && it.front().is_object() && it.front().contains("name");
@@ -29,7 +29,7 @@
     json out = json::object();
     for (const auto& e : it)
     {
-        auto value = by_name(e);
+        auto value = keyed_by_name(e);
         value.erase("name");
         out[e.at("name").get<std::string>()] = std::move(value);
     }
@@ -55,7 +55,7 @@
 std::map<std::string, std::string> leaves_of(const configuration& it)
 {
     std::map<std::string, std::string> out;
-    flatten(by_name(json::parse(print_configuration(it))), "", out);
+    flatten(keyed_by_name(json::parse(print_configuration(it))), "", out);
     out.erase("revision");
     out.erase("operation_id");
     return out;
@@ -127,18 +127,19 @@
     if (!doc)
         return failure{errc::plan_invalid, faults.str()};
     configuration next = base;
-    std::optional<std::string> whole;
+    std::optional<std::string> whole_configuration;
     {
         json_object_reader in{*doc, "$", faults};
         if (const auto* it = in.raw("configuration"))
-            whole = it->dump();
+            whole_configuration = it->dump();
         in.each_object("changes", [&](auto& e) { apply_change(next, e); });
-        if (whole.has_value() == in.has("changes"))
+        if (whole_configuration.has_value() == in.has("changes"))
             faults.add("$", "must hold either configuration or changes");
     }
     if (!faults.empty())
         return failure{errc::plan_invalid, faults.str()};
-    return whole ? parse_configuration(*whole) : result<configuration>{std::move(next)};
+    return whole_configuration ? parse_configuration(*whole_configuration)
+                               : result<configuration>{std::move(next)};
 }
 
 json changes_json(const std::vector<configuration_change>& changes)
@@ -180,7 +181,7 @@
     next.operation_id = operation_id;
     auto changes = compare(base, next);
     if (changes.empty())
-        return failure{errc::plan_invalid, "$: changes nothing"};
+        return failure{errc::plan_invalid, "$: the intent changes nothing"};
     return plan{std::move(next), std::move(changes)};
 }
 
@@ -201,7 +202,7 @@
     const auto code = (*doc)["code"].get<std::string>();
     doc->erase("code");
     if (!equal_in_constant_time(code, mac(secret, "plan " + doc->dump())))
-        return failure{errc::plan_invalid, "$.code: the plan was edited, or is of another deployment"};
+        return failure{errc::plan_invalid, "$.code: the plan was edited or belongs to another deployment"};
     plan out;
     BOOST_OUTCOME_TRY(next, parse_configuration(doc->at("configuration").dump()));
     out.next = std::move(next);
