--- a/include/runlink/control/change_history.hpp
+++ b/include/runlink/control/change_history.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The newest change of each key of the store, for instances that ask what is new.
+/// The latest change of each store key, for instances that ask for changes since a revision.
 #pragma once
 
 #include <cstddef>
@@ -17,44 +17,48 @@
 /// Parameters of the history.
 struct history_options
 {
-    /// Keys that are gone are remembered up to this many. A roll-out takes away an entry for each endpoint of
-    /// a service.
-    std::size_t kept_deletions = 1000;
-    /// Bytes of a value that is sent on, before the link compresses it: JSON shrinks to a fifth or less.
-    std::size_t largest_value = 256 * 1024;
-    /// Bytes of values in one part, before they are compressed.
-    std::size_t largest_part = 256 * 1024;
+    /// Maximum number of remembered deletions. A roll-out deletes one entry for each endpoint of a service.
+    std::size_t max_deletions = 1000;
+    /// Maximum uncompressed size of a value that is sent to others. Compression reduces JSON to a fifth or
+    /// less.
+    std::size_t max_value_bytes = 256 * 1024;
+    /// Maximum uncompressed size of the keys and values in one part.
+    std::size_t max_part_bytes = 256 * 1024;
 };
 
-/// Changes behind a revision, oldest first.
+/// Changes after a revision, oldest first.
 struct history_part
 {
     std::vector<kv_event> events;
-    std::vector<std::string> omitted; ///< keys that changed and whose values are too large
-    std::uint64_t revision = 0;       ///< of the last change here, if there are more
-    bool has_more = false;
+    std::vector<std::string> omitted; ///< changed keys whose values are too large
+    std::uint64_t revision = 0;       ///< of the last change in this part
+    bool has_more = false;            ///< later changes follow in another part
 };
 
-/// Holds what the store holds, and what it held lately.
+/// The current items of the store and its most recent deletions.
 class change_history
 {
 public:
     explicit change_history(history_options options = {}) : options_{options} {}
 
-    /// The store's items as they are at the revision; what came before is not known.
+    /// Replaces the contents by the store's items at the given revision. Earlier deletions are unknown.
     void reset(const std::vector<kv_item>& items, std::uint64_t revision);
     void remember(const kv_event& it);
-    /// Whether all that changed behind the revision is known.
-    bool reaches(std::uint64_t since) const { return since >= complete_since_; }
+    /// Whether all changes after the revision are known.
+    bool covers(std::uint64_t since) const { return since >= complete_since_; }
+    /// Revision after which all changes are known.
     std::uint64_t complete_since() const { return complete_since_; }
-    history_part behind(std::uint64_t since) const;
+    /// Returns the first part of the changes after a revision.
+    history_part changes_after(std::uint64_t since) const;
 
 private:
     void put(const kv_event& it);
-    void bound();
+    /// Forgets the oldest deletions beyond the limit.
+    void drop_old_deletions();
 
     history_options options_;
-    std::map<std::pair<std::uint64_t, std::string>, kv_event> changes_; ///< a transaction changes many keys
+    std::map<std::pair<std::uint64_t, std::string>, kv_event>
+        changes_; ///< by revision and key: a transaction changes several keys
     std::unordered_map<std::string, std::uint64_t> revisions_;
     std::size_t deletions_ = 0;
     std::uint64_t complete_since_ = 0;
--- a/include/runlink/control/documents.hpp
+++ b/include/runlink/control/documents.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the items of the store mean, as typed documents, and how they are read and written.
+/// Typed documents stored in the key-value store, and the interfaces that encode and decode them.
 #pragma once
 
 #include <functional>
@@ -18,18 +18,18 @@
 namespace runlink::control
 {
 
-/// Endpoints end under requests of this content.
+/// Marks requests with this fingerprint as harmful: they crash endpoints.
 struct harmful_entry
 {
     crashes::request_fingerprint request;
 };
 
-/// An item of the store, read. Items that do not concern this process are empty.
+/// A decoded store item. Items that this process doesn't use are `std::monostate`.
 using document =
     std::variant<std::monostate, routing::routing_table_ptr, routing::endpoint_entry, routing::rollout_order,
                  routing::rollout_record, peer_entry, places::evacuation, harmful_entry>;
 
-/// What a key names whose item is gone.
+/// Keys of the store, decoded. They identify the document of a deleted item.
 struct endpoint_key
 {
     core::endpoint_name name;
@@ -57,18 +57,18 @@
 using document_key =
     std::variant<std::monostate, endpoint_key, order_key, record_key, peer_key, evacuation_key, harmful_key>;
 
-/// How a deployment spells its documents.
+/// Keys and encoding of a deployment's documents.
 struct document_codec
 {
     std::string configuration_key;
     std::function<core::result<document>(const kv_item&)> read;
-    std::function<document_key(const std::string& key)> name;
+    std::function<document_key(const std::string& key)> name; ///< decodes a key
     std::function<kv_item(const routing::rollout_record&)> write_record;
     std::function<kv_item(const peer_entry&)> write_peer;
     std::function<kv_item(const harmful_entry&)> write_harmful;
 };
 
-/// One call of the store over HTTP.
+/// One HTTP request to the store.
 struct http_call
 {
     std::string method;
@@ -76,7 +76,7 @@
     std::string body; ///< JSON, or empty
 };
 
-/// How a deployment's store is spoken to.
+/// HTTP requests and responses of a deployment's store.
 struct kv_wire
 {
     std::function<http_call(const std::string& after_key)> list;
--- a/include/runlink/control/finding_registry.hpp
+++ b/include/runlink/control/finding_registry.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps the findings that requests are harmful in the store, so that they outlast every instance.
+/// Keeps the findings about harmful requests in the store, so that they survive a restart of all instances.
 #pragma once
 
 #include <cstddef>
@@ -18,21 +18,21 @@
 struct finding_options
 {
     core::milliseconds retry_after{1000};
-    std::size_t most_listed = 256; ///< findings in the store; more are kept in memory only
-    std::size_t most_in_call = 32;
+    std::size_t max_listed = 256;  ///< findings in the store; further ones are kept in memory only
+    std::size_t max_per_call = 32; ///< writes and removals in one call
 };
 
-/// Findings to write and to remove with one call.
+/// Findings to write and remove in one store call.
 struct finding_batch
 {
     std::vector<crashes::request_fingerprint> put;
     std::vector<crashes::request_fingerprint> removed;
 };
 
-/// Writes what this instance found, until the store has it, and removes what is over.
+/// Writes the findings of this instance to the store, with retries, and removes expired ones.
 ///
-/// Answers the loss of all instances at once: without a record each of them would learn of the request anew,
-/// at the cost of some endpoints.
+/// Without these records, if all instances restart at once, each of them would have to detect the harmful
+/// requests again, and some endpoints would crash in the process.
 class finding_registry
 {
 public:
@@ -43,19 +43,22 @@
     finding_registry(const finding_registry&) = delete;
     finding_registry& operator=(const finding_registry&) = delete;
 
-    /// Returns false where there is no room in the store.
+    /// Schedules a write of a new finding. Returns false if the store holds `max_listed` findings already.
     bool found(core::time_point now, crashes::request_fingerprint it);
+    /// Schedules the removal of an expired finding.
     void expired(core::time_point now, crashes::request_fingerprint it);
-    /// The store has it, or has it no more.
+    /// The store holds the finding (`listed`), or no longer holds it (`unlisted`).
     void listed(crashes::request_fingerprint it);
     void unlisted(crashes::request_fingerprint it) { listed_.erase(it); }
+    /// All findings in the store.
     const std::set<crashes::request_fingerprint>& all() const { return listed_; }
 
     void tick(core::time_point now);
-    std::optional<core::time_point> next_due() const { return next_; }
+    std::optional<core::time_point> next_due() const { return next_call_; }
 
 private:
-    void arm(core::time_point at);
+    /// Schedules the next call for this time, or earlier if one is due earlier.
+    void schedule(core::time_point at);
     void on_done(core::time_point now, const finding_batch& batch, bool is_done);
 
     finding_options options_;
@@ -63,7 +66,7 @@
     std::set<crashes::request_fingerprint> listed_;
     std::set<crashes::request_fingerprint> to_put_;
     std::set<crashes::request_fingerprint> to_remove_;
-    std::optional<core::time_point> next_;
+    std::optional<core::time_point> next_call_;
     bool is_writing_ = false;
 };
 
--- a/include/runlink/control/fleet_join.hpp
+++ b/include/runlink/control/fleet_join.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How an instance that starts comes to know the store and the other instances.
+/// Start-up of an instance: loads the contents of the store and joins the fleet.
 #pragma once
 
 #include <cstdint>
@@ -12,65 +12,70 @@
 namespace runlink::control
 {
 
-/// Parameters of a start.
+/// Timeouts of the start-up.
 struct join_options
 {
-    /// After this the next seed is asked: above the way and back and the time in which a small processor
-    /// compresses the view. Where all start at once a seed may start a moment later and hear nothing before.
+    /// After this the next seed is asked. Longer than a round trip plus the time in which a small processor
+    /// compresses the view. If all instances start at once, a seed may start later and miss the first
+    /// request.
     milliseconds answer_timeout{120};
-    /// After this the store is read instead. Seeds need a moment themselves when all start at once.
-    milliseconds patience{1500};
-    /// The own entry is to be listed within this; else it is written by this instance itself.
-    milliseconds listing_time{3000};
-    /// Relays are chosen this long after the own entry is listed: those of instances that started at the
-    /// same moment are listed by then.
-    milliseconds settle_time{600};
+    /// After this the instance reads the store instead. Leaves time for the seeds to read the store first if
+    /// all instances start at once.
+    milliseconds store_fallback_delay{1500};
+    /// Other instances should write this instance's entry to the store within this time; otherwise it writes
+    /// the entry itself.
+    milliseconds listing_timeout{3000};
+    /// Time between the listing of this instance's entry and the choice of relays. Within it, the entries of
+    /// instances that started at the same time are listed too.
+    milliseconds settle_delay{600};
 };
 
-/// What the store holds at a revision, and deletions behind an earlier one.
+/// The contents of the store at a revision, and the deletions after an earlier revision.
 struct joined_view
 {
     std::vector<kv_event> events;
     std::uint64_t revision = 0;
-    std::uint64_t complete_since = 0;
+    std::uint64_t complete_since = 0; ///< all deletions after this revision are included
 };
 
-/// What a start orders.
+/// Actions that the start-up triggers.
 struct join_hooks
 {
     std::function<void(const instance_id& to, const sync_request&)> ask;
-    /// Read the store itself.
+    /// Reads the store.
     std::function<void()> list;
-    /// The store as another instance knows it, whole.
+    /// Takes over the complete view of another instance.
     std::function<void(time_point, const joined_view&)> take_view;
-    /// Which instance is asked for changes until relays are chosen; the own id stands for the store itself.
+    /// Sets the instance that is asked for changes until relays are chosen. The own id means the store
+    /// itself.
     std::function<void(time_point, const instance_id&)> introduce;
-    /// Relays may be chosen.
+    /// The start-up is complete; relays may be chosen.
     std::function<void(time_point)> settle;
 };
 
-/// Asks a seed for its view of the store, or reads the store where no seed answers; then waits until the own
-/// entry is listed.
+/// Asks a seed for its view of the store, or reads the store if no seed answers. Then waits until this
+/// instance's own entry is in the store.
 ///
-/// Answers starts of a whole fleet and of a half of it: only seeds read the store, and nobody follows it
-/// because the other instances' entries are not there yet. A start of 295 instances costs the store 3 lists
-/// in place of 295 lists, watches and proofs each (calls counted by kind in the logs of a start).
+/// This limits the load on the store when all or half of the instances start at once. Only seeds read the
+/// store. No instance follows the store merely because the entries of the others are not written yet. A start
+/// of 295 instances takes 3 lists instead of 295 each of lists, watches and proofs (calls by kind in the logs
+/// of a start).
 class fleet_join
 {
 public:
-    /// `seeds`: instances that may be there; empty for one that is a seed itself.
+    /// `seeds`: instances that may be running; empty if this instance is a seed itself.
     fleet_join(join_options options, instance_id self, std::vector<instance_id> seeds, join_hooks hooks);
     fleet_join(const fleet_join&) = delete;
     fleet_join& operator=(const fleet_join&) = delete;
 
     void start(time_point now);
-    /// An answer of a seed; taken only while one is waited for.
+    /// Handles the reply of a seed. Ignored unless the instance is waiting for one.
     void on_reply(time_point now, const sync_reply& it);
     /// The store has been read.
     void on_listed(time_point now);
-    /// The store holds the own entry.
+    /// The store holds this instance's entry.
     void on_own_entry(time_point now);
-    /// Whether the own entry should have been listed by others.
+    /// Whether the instance has to write its entry itself, since no other instance has done so in time.
     bool must_announce_itself(time_point now) const;
     bool is_asking() const { return phase_ == phase::asking; }
     bool is_settled() const { return phase_ == phase::settled; }
@@ -96,11 +101,11 @@
     std::vector<instance_id> seeds_;
     join_hooks hooks_;
     phase phase_ = phase::asking;
-    std::size_t seed_ = 0;
-    std::uint64_t number_ = 0;
-    joined_view view_; ///< as far as it is here
-    time_point give_up_at_{};
-    time_point list_by_{};
+    std::size_t seed_index_ = 0;
+    std::uint64_t request_number_ = 0;
+    joined_view view_; ///< the parts received so far
+    time_point store_fallback_at_{};
+    time_point listing_deadline_{};
     bool is_listed_ = false;
     std::optional<time_point> next_;
 };
--- a/include/runlink/control/kv_store.hpp
+++ b/include/runlink/control/kv_store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What is asked of the platform's key-value store, as typed messages and hooks.
+/// Interface to the platform's key-value store: typed messages and asynchronous calls.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
     std::uint64_t revision = 0;
 };
 
-/// One change, as a watch tells it.
+/// One change reported by a watch.
 struct kv_event
 {
     kv_item item;
     bool is_deleted = false;
 };
 
-/// A part of a list. Pages are no snapshot.
+/// One page of a list. Pages may be read at different revisions; together they are no snapshot.
 struct kv_page
 {
     std::vector<kv_item> items;
@@ -37,46 +37,46 @@
     std::uint64_t store_revision = 0;
 };
 
-/// What a watch answers; without events its wait was over.
+/// Result of a watch. No events if its wait ended without a change.
 struct kv_changes
 {
     std::vector<kv_event> events;
     std::uint64_t store_revision = 0;
 };
 
-/// A condition of a transaction: the key is at this revision, or, with 0, not there.
+/// A precondition of a transaction: the key is at this revision, or absent if the revision is 0.
 struct kv_condition
 {
     std::string key;
     std::uint64_t revision = 0;
 };
 
-/// All or nothing.
+/// Writes and removals that are applied atomically if all conditions hold.
 struct kv_transaction
 {
     std::vector<kv_condition> conditions;
-    std::vector<kv_item> writes; ///< their revisions are not looked at
+    std::vector<kv_item> writes; ///< the `revision` of these items is ignored
     std::vector<std::string> removals;
 };
 
-/// Why a call brought nothing.
+/// Why a call failed.
 enum class kv_error
 {
-    unavailable,  ///< no answer, or a broken connection: a write may have taken place
-    refused,      ///< the store did nothing: too many calls, or not now
-    history_gone, ///< a watch cannot go on from that revision
-    malformed,    ///< the answer cannot be read
+    unavailable,  ///< no answer or a broken connection; a write may have been applied
+    refused,      ///< the store rejected the call, e.g. because of a rate limit; nothing was applied
+    history_gone, ///< the store no longer has the changes after the given revision
+    malformed,    ///< the answer can't be parsed
 };
 
 std::string_view to_string(kv_error it);
 
-/// The conditions did not hold; the items as they are.
+/// The conditions did not hold. Contains the current items.
 struct kv_conflict
 {
     std::vector<kv_item> items;
 };
 
-/// The transaction took place.
+/// The transaction was applied.
 struct kv_committed
 {
     std::uint64_t revision = 0;
@@ -86,7 +86,7 @@
 using kv_result = std::variant<T, kv_error>;
 using kv_commit_result = std::variant<kv_committed, kv_conflict, kv_error>;
 
-/// Asynchronous calls. Each handler is called once, later.
+/// Asynchronous calls. Each handler is called once, after the call has returned.
 struct kv_store
 {
     std::function<void(std::string after_key, std::function<void(kv_result<kv_page>)>)> list;
@@ -94,7 +94,7 @@
                        std::function<void(kv_result<kv_changes>)>)>
         watch;
     std::function<void(const kv_transaction&, std::function<void(kv_commit_result)>)> commit;
-    /// Ends a watch that waits; its handler is not called any more.
+    /// Cancels the waiting watch; its handler is not called any more.
     std::function<void()> cancel_watch;
 };
 
--- a/include/runlink/control/member_registry.hpp
+++ b/include/runlink/control/member_registry.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps the instances' entries in the store, many with one call.
+/// Keeps the entries of the instances in the store. Batches several entries into one call.
 #pragma once
 
 #include <cstddef>
@@ -18,21 +18,21 @@
 /// Parameters of the registry.
 struct registry_options
 {
-    /// Entries that come within this are written together: a whole fleet may start at once.
+    /// Entries announced within this time are written together, since all instances may start at once.
     core::milliseconds gather{300};
     core::milliseconds retry_after{1000};
-    /// Writes and removals in one call; the store takes no more.
-    std::size_t most_in_call = 32;
+    /// Maximum number of writes and removals in one call, as limited by the store.
+    std::size_t max_per_call = 32;
 };
 
-/// Entries to write and to remove with one call.
+/// Entries to write and remove in one call.
 struct registry_batch
 {
     std::vector<peer_entry> put;
     std::vector<core::instance_id> removed;
 };
 
-/// What a call became.
+/// Outcome of a call.
 enum class registry_outcome
 {
     done,
@@ -41,10 +41,10 @@
 
 /// Writes the entries of instances that announce themselves, and removes those of instances that are gone.
 ///
-/// Answers starts of many instances at once: an entry with a lease of its own costs each instance two calls
-/// and a renewal every few seconds; 295 of them cost 17 calls this way instead of 590, renewals apart
-/// (calls counted by kind in the logs of a start). An instance that restarts at its address finds its
-/// entry and costs none.
+/// This limits the load on the store when many instances start at once. An entry with its own lease would
+/// take two calls per instance and a renewal every few seconds; batched, the entries of 295 instances take 17
+/// calls instead of 590, not counting renewals (calls by kind in the logs of a start). An instance that
+/// restarts at the same address finds its entry and needs no call.
 class member_registry
 {
 public:
@@ -55,22 +55,24 @@
     member_registry(const member_registry&) = delete;
     member_registry& operator=(const member_registry&) = delete;
 
-    /// The store has this entry.
+    /// The store holds this entry.
     void listed(const peer_entry& it);
-    /// The store has no entry of the instance.
+    /// The store holds no entry of the instance.
     void unlisted(const core::instance_id& id);
     std::vector<core::instance_id> listed_ids() const;
 
-    /// An instance tells of itself: its entry is written unless the store has it.
+    /// Handles an instance's announcement: schedules a write of its entry unless the store holds the same
+    /// one.
     void announce(core::time_point now, const peer_entry& it);
-    /// An instance is gone.
+    /// Schedules the removal of the entry of an instance that is gone.
     void withdraw(core::time_point now, const core::instance_id& id);
 
     void tick(core::time_point now);
-    std::optional<core::time_point> next_due() const { return next_; }
+    std::optional<core::time_point> next_due() const { return next_call_; }
 
 private:
-    void arm(core::time_point at);
+    /// Schedules the next call unless one is scheduled.
+    void schedule(core::time_point at);
     void send(core::time_point now);
     void on_done(core::time_point sent_at, const registry_batch& batch, registry_outcome outcome);
 
@@ -79,7 +81,7 @@
     std::map<core::instance_id, peer_entry> listed_;
     std::map<core::instance_id, peer_entry> to_put_;
     std::set<core::instance_id> to_remove_;
-    std::optional<core::time_point> next_;
+    std::optional<core::time_point> next_call_;
 };
 
 } // namespace runlink::control
--- a/include/runlink/control/peer_entry.hpp
+++ b/include/runlink/control/peer_entry.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How instances know each other.
+/// The entry of an instance in the store.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 namespace runlink::control
 {
 
-/// An instance, and where it takes datagrams.
+/// An instance and the address at which it receives datagrams.
 struct peer_entry
 {
     core::instance_id id;
     core::failure_domain_id failure_domain;
     std::string host;
     std::uint16_t port = 0;
-    std::uint32_t link_mbps = 0; ///< of its link; 0: not known
+    std::uint32_t link_mbps = 0; ///< bandwidth of its network link in Mbit/s; 0 if unknown
 
     friend bool operator==(const peer_entry&, const peer_entry&) = default;
 };
--- a/include/runlink/control/relay.hpp
+++ b/include/runlink/control/relay.hpp
@@ -1,10 +1,12 @@
 /// \file
-/// One instance of each failure domain follows the store; the others ask it, its stand-by or those of other
-/// failure domains by datagram.
+/// Relays reduce the number of store calls. One instance of each failure domain, the relay, follows the
+/// store. The others are followers: they ask the relay, its stand-by or the relays of other failure domains
+/// by datagram.
 ///
-/// A follower's proof counts from when it asked: the relay's proof had the age it tells when it answered, so
-/// it was sent at that age before the question or later. Datagrams that wait somewhere make a proof older,
-/// never younger.
+/// A proof is a store call which confirms that the local configuration is the newest; its age counts from
+/// when the call was sent. A reply carries the age of the relay's proof at the time of the reply. A follower
+/// dates this proof back by that age from the time of its request, which is at or before the time when the
+/// relay's proof was sent. Delayed datagrams therefore make a proof look older, never younger.
 #pragma once
 
 #include <cstdint>
@@ -26,102 +28,111 @@
 using core::milliseconds;
 using core::time_point;
 
-/// A question of a follower: what is new since its revision?
+/// A follower's request for the changes since its revision.
 struct sync_request
 {
-    peer_entry sender; ///< where the answer goes; relays see to it that the store has the entry
+    peer_entry sender; ///< where the reply is sent; relays write this entry to the store
     std::uint64_t number = 0;
     std::uint64_t store_revision = 0;
-    bool is_joining = false; ///< has no view of the store yet, or parts of one from the asked instance
+    bool is_joining =
+        false; ///< the sender has no view of the store yet, or only parts of one from the same instance
 };
 
-/// What the relay knows. Number 0: sent without a question, proves nothing.
+/// A relay's reply. With number 0 it was sent without a request and is no proof.
 struct sync_reply
 {
     instance_id sender;
     std::uint64_t number = 0;
     std::optional<milliseconds> proof_age;
     std::uint64_t configuration_revision = 0;
-    std::uint64_t since = 0; ///< the events follow this revision without a gap
-    /// For an instance that starts: which deletions it learns as well, those behind this revision.
+    std::uint64_t since = 0; ///< the events contain all changes after this revision
+    /// For a joining instance: all deletions after this revision are included.
     std::uint64_t complete_since = 0;
     std::uint64_t store_revision = 0;
-    bool has_more = false;     ///< more changes follow the last one here; `store_revision` is that one's
-    bool history_gone = false; ///< the relay does not know all that came after the asked revision
+    bool has_more = false; ///< more changes follow; `store_revision` is the revision of the last one included
+    bool history_gone = false; ///< the relay doesn't know all changes after the requested revision
     std::vector<kv_event> events;
-    std::vector<std::string> omitted; ///< keys that changed and whose values are too large
+    std::vector<std::string> omitted; ///< changed keys whose values are too large
 };
 
 /// Parameters of the relays.
 struct relay_options
 {
-    std::size_t relays_per_domain = 2; ///< one that follows the store and a stand-by, which asks it
-    /// With fewer instances all follow the store: the calls that relays save are worth less than the time by
-    /// which a follower learns later that its relay has lost the store.
-    std::size_t least_members = 16;
-    /// After the start; by then the others' entries are there.
-    milliseconds first_choice{500};
+    std::size_t relays_per_domain =
+        2; ///< the relay, which follows the store, and a stand-by, which asks the relay
+    /// With fewer instances, all of them follow the store: the few calls saved would not outweigh the delay
+    /// with which a follower notices that its relay has lost the store.
+    std::size_t min_members = 16;
+    /// Delay of the first choice of relays after the start. By then the entries of the other instances are
+    /// known.
+    milliseconds first_choice_delay{500};
     milliseconds ask_interval{600};
-    milliseconds answer_timeout{300}; ///< far above the way and back
-    /// Relays gather changes for this long before they watch again: endpoints that crash or come one by one
-    /// are a change each, and each relay pays a call for it.
+    milliseconds answer_timeout{300}; ///< far longer than a round trip
+    /// Relays collect changes for this long before they watch again. Otherwise each endpoint that crashes or
+    /// starts would cost each relay one call.
     milliseconds gather{200};
-    milliseconds oldest_proof{1350}; ///< older ones are not taken: another relay is asked
-    milliseconds subscription{3000}; ///< changes are sent to who asked within this
+    milliseconds max_proof_age{1350};         ///< with an older proof, another relay is asked
+    milliseconds subscription_lifetime{3000}; ///< changes are sent to instances that asked within this time
     history_options history;
-    /// Instances that start together are answered together after this: compressing a view once for each of
-    /// them would keep a small processor busy for seconds.
-    milliseconds joiners_gather{40};
-    /// An instance that was not heard for this long is gone: a pause of a few seconds is not the end of it.
+    /// Requests of joining instances within this time get a common reply. Compressing the view for each of
+    /// them would take a small processor several seconds.
+    milliseconds joiners_delay{40};
+    /// An instance is considered gone after this time without a message. Instances may pause for a few
+    /// seconds.
     milliseconds forget_after{20000};
-    /// Datagrams may be lost: one question without an answer says nothing.
-    std::uint32_t least_unanswered = 2;
-    /// Followers notice that a relay is gone at times that differ by up to this; one removal is enough.
-    milliseconds forget_spread{10000};
-    /// Instances that follow the store without being relays tell of themselves this often.
+    /// Unanswered requests after which an instance may be considered gone. A single datagram may be lost.
+    std::uint32_t min_unanswered = 2;
+    /// Followers notice that a relay is gone at different times within this range, so that not all of them
+    /// remove its entry.
+    milliseconds forget_jitter{10000};
+    /// Interval at which instances that follow the store without being relays report to the relay.
     milliseconds heartbeat{5000};
-    /// Replies in a row that prove a configuration which this instance lacks, after which the store is asked.
-    std::uint32_t patience = 3;
-    /// Between two rounds while no relay has a proof; the store itself is asked in rounds 1, 2, 4, 8 and so
-    /// on.
-    milliseconds lost_interval{1200};
-
-    /// Times within which a follower whose relay loses the store still applies a change in the given time:
-    /// a proof's age, an interval, and two answers that do not come are 0.85 of it.
+    /// Consecutive replies that prove a configuration which this instance lacks; then it reads the
+    /// configuration from the store.
+    std::uint32_t max_mismatches = 3;
+    /// Time between two rounds while no relay has a valid proof. The store itself is asked in rounds 1, 2, 4,
+    /// 8 and so on.
+    milliseconds no_proof_interval{1200};
+
+    /// Returns options with which a follower applies a change within the given time even if its relay loses
+    /// the store: the maximum age of a proof, one request interval and two answer timeouts add up to 0.85 of
+    /// it.
     static relay_options within(milliseconds apply);
-    /// How often relays prove, so that their proofs are young enough.
-    milliseconds proof_interval() const { return oldest_proof * 2 / 3; }
+    /// Interval at which relays renew their proofs, so that followers accept them.
+    milliseconds proof_interval() const { return max_proof_age * 2 / 3; }
 };
 
-/// What this instance knows of the store.
+/// State of this instance's view of the store.
 struct store_view
 {
     std::uint64_t store_revision = 0;
     std::uint64_t configuration_revision = 0;
-    std::optional<duration> proof_age;
+    std::optional<duration> proof_age; ///< empty without a proof
 };
 
-/// What the relay logic orders.
+/// Actions and queries of the relay logic.
 struct relay_hooks
 {
     std::function<void(const instance_id& to, const sync_request&)> ask;
     std::function<void(const std::vector<instance_id>& to, const sync_reply&)> reply;
     std::function<store_view(time_point)> view;
-    /// Follow the store directly, or not any more.
+    /// Starts or stops following the store directly.
     std::function<void(time_point, bool direct)> set_direct;
-    /// Changes behind the own revision, up to the given one.
+    /// Applies all changes after the own revision, up to the given one.
     std::function<void(time_point, const std::vector<kv_event>&, std::uint64_t revision)> apply;
-    /// Keys whose values must be read from the store.
+    /// Reads the values of these keys from the store; with no keys, the configuration.
     std::function<void(time_point, const std::vector<std::string>& keys)> fetch;
+    /// Reads the whole store again.
     std::function<void()> list_again;
-    /// One proof from the store itself, as no relay has one.
+    /// Requests one proof from the store itself, since no relay has a valid one.
     std::function<void(time_point)> probe;
+    /// A relay's proof, sent at this time or later, confirms the configuration of this instance.
     std::function<void(time_point sent_at)> proven;
-    /// An instance has not been heard for long.
+    /// An instance has not been heard from for longer than `forget_after`.
     std::function<void(time_point, const instance_id&)> forget = [](auto, const auto&) {};
 };
 
-/// Decides whether this instance follows the store itself, answers followers, and asks relays.
+/// Decides whether this instance follows the store itself, answers followers and asks relays.
 class relay
 {
 public:
@@ -130,23 +141,24 @@
     relay(const relay&) = delete;
     relay& operator=(const relay&) = delete;
 
-    /// Chooses relays from now on.
+    /// Starts choosing relays.
     void start(time_point now);
-    /// Until the choice another instance is asked, or, with the own id, the store is followed.
+    /// Sets the instance that is asked until relays are chosen. With the own id, the store is followed.
     void introduce(time_point now, const instance_id& by);
-    /// Faster links are chosen first: a change goes out to all of a failure domain at once.
+    /// Adds or updates an instance. Those with faster links are preferred as relays, since a relay sends each
+    /// change to its whole failure domain at once.
     void put_peer(const instance_id& id, const core::failure_domain_id& domain, std::uint32_t link_mbps);
     void remove_peer(const instance_id& id);
 
-    /// A change that this instance has taken, for those that ask.
+    /// Records a change for replies to followers.
     void remember(const kv_event& it);
-    /// All changes up to the revision are remembered; sends them to subscribers.
+    /// Sends the recorded changes to subscribers. All changes up to the revision must be recorded.
     void publish(time_point now, std::uint64_t revision);
-    /// The store's items as they are at the revision; what came before is not remembered.
+    /// Records the store's items at the given revision. Earlier changes are forgotten.
     void remember_all(time_point now, const std::vector<kv_item>& items, std::uint64_t revision);
 
-    /// The same, as another instance told it, with the deletions behind `complete_since`. Those that ask a
-    /// relay which has just started need not read the store then.
+    /// Records the view received from another instance, including the deletions after `complete_since`. With
+    /// them, followers of a relay that has just started need not read the store.
     void remember_view(const std::vector<kv_event>& events, std::uint64_t complete_since)
     {
         history_.reset({}, complete_since);
@@ -156,19 +168,20 @@
 
     void on_request(time_point now, const sync_request& it);
     void on_reply(time_point now, const sync_reply& it);
-    /// The process stood still: what it has not heard meanwhile says nothing, and a proof is due.
+    /// The process was suspended: messages missed meanwhile don't count as silence, and a new proof is due.
     void on_wake(time_point now);
-    /// The store itself has answered this instance.
+    /// The store itself has confirmed the configuration.
     void on_own_proof(time_point now);
     void tick(time_point now);
     std::optional<time_point> next_due() const;
+    /// Whether this instance follows the store itself.
     bool is_direct() const { return direct_; }
     /// Whether this instance is the relay of its failure domain.
     bool is_relay() const { return relay_since_ && is_used(); }
     /// The first relay of each other failure domain.
     std::vector<instance_id> other_relays() const;
-    /// Whether there are enough instances for relays.
-    bool is_used() const { return peers_.size() + 1 >= options_.least_members; }
+    /// Whether there are enough instances to use relays.
+    bool is_used() const { return peers_.size() + 1 >= options_.min_members; }
 
 private:
     struct subscriber
@@ -184,7 +197,7 @@
     };
 
     std::vector<instance_id> relays(const core::failure_domain_id& domain) const;
-    /// Whom to ask, in order: the own failure domain's relays, then the first of each other one.
+    /// Instances to ask, in order: the relays of the own failure domain, then the first of each other one.
     std::vector<instance_id> sources() const;
     bool follows_store() const;
     bool has_proof(time_point now) const;
@@ -192,15 +205,17 @@
     void ask(time_point now);
     void ask_one(time_point now, const instance_id& to);
     void answer_joiners(time_point now);
-    /// Finds instances of the own failure domain that are gone.
+    /// Reports instances of the own failure domain that are gone.
     void check_members(time_point now);
-    bool asks_nothing(time_point now, const instance_id& id) const;
-    bool answers_nothing(time_point now, const instance_id& id) const;
+    bool has_stopped_asking(time_point now, const instance_id& id) const;
+    bool has_stopped_answering(time_point now, const instance_id& id) const;
     void on_no_proof(time_point now);
-    void on_all_lost(time_point now);
+    void on_no_source_left(time_point now);
     void on_proof(time_point now, const sync_reply& it);
     void set_direct(time_point now, bool direct);
     sync_reply make_reply(time_point now, std::uint64_t since, bool is_joining) const;
+    /// Applies the events of a reply. Returns false if changes are missing between the own revision and the
+    /// reply.
     bool take_events(time_point now, const sync_reply& it);
 
     relay_options options_;
@@ -210,19 +225,20 @@
     std::uint32_t link_mbps_;
     std::map<instance_id, peer> peers_;
     std::map<instance_id, subscriber> subscribers_;
-    /// Instances that start and may get the same answer.
+    /// Joining instances that may get the same reply.
     struct joiner_group
     {
-        std::uint64_t since = 0;  ///< revision up to which they have a view
-        std::uint64_t number = 0; ///< of their question
+        std::uint64_t since = 0;  ///< revision of the view that they have
+        std::uint64_t number = 0; ///< of their request
 
         friend auto operator<=>(const joiner_group&, const joiner_group&) = default;
     };
     std::map<joiner_group, std::vector<instance_id>> joiners_;
     std::optional<time_point> answer_joiners_at_;
     change_history history_;
-    std::optional<instance_id> introducer_;
-    std::map<instance_id, time_point> heard_; ///< of the own failure domain, while this instance is its relay
+    std::optional<instance_id> initial_source_;
+    std::map<instance_id, time_point>
+        last_request_at_; ///< last request of each instance of the own failure domain
     std::optional<time_point> relay_since_;
     struct unanswered_questions
     {
@@ -231,14 +247,14 @@
     };
     std::map<instance_id, unanswered_questions> unanswered_;
     time_point next_heartbeat_{};
-    bool direct_ = false;    ///< until the first choice nothing is followed
-    std::size_t choice_ = 0; ///< which of the sources is asked first
-    std::size_t tried_ = 0;  ///< sources in this round
+    bool direct_ = false;           ///< the store is not followed before the first choice
+    std::size_t first_source_ = 0;  ///< index of the source that is asked first
+    std::size_t sources_tried_ = 0; ///< sources that gave no valid proof in this round
     std::uint64_t rounds_ = 0;
-    std::uint32_t lost_rounds_ = 0; ///< in a row, without a source that has a proof
-    std::uint32_t mismatches_ = 0;  ///< in a row
-    std::uint64_t number_ = 0;
-    std::optional<time_point> asked_at_; ///< of the question that waits
+    std::uint32_t rounds_without_proof_ = 0; ///< consecutive rounds in which no source had a proof
+    std::uint32_t mismatches_ = 0;           ///< consecutive replies that prove another configuration
+    std::uint64_t request_number_ = 0;
+    std::optional<time_point> asked_at_; ///< when the pending request was sent
     std::optional<time_point> next_;
 };
 
--- a/src/runlink/control/change_history.cpp
+++ b/src/runlink/control/change_history.cpp
@@ -19,12 +19,13 @@
 void change_history::remember(const kv_event& it)
 {
     put(it);
-    bound();
+    drop_old_deletions();
 }
 
 void change_history::put(const kv_event& it)
 {
-    // Only the newest change of a key is of use: configurations in quick succession would fill the memory.
+    // Only the latest change of a key is kept, so that frequent changes of the configuration don't fill the
+    // memory.
     const auto found = revisions_.find(it.item.key);
     if (found != revisions_.end())
     {
@@ -37,9 +38,9 @@
     changes_[{it.item.revision, it.item.key}] = it;
 }
 
-void change_history::bound()
+void change_history::drop_old_deletions()
 {
-    for (auto it = changes_.begin(); deletions_ > options_.kept_deletions && it != changes_.end();)
+    for (auto it = changes_.begin(); deletions_ > options_.max_deletions && it != changes_.end();)
     {
         if (!it->second.is_deleted)
         {
@@ -53,7 +54,7 @@
     }
 }
 
-history_part change_history::behind(std::uint64_t since) const
+history_part change_history::changes_after(std::uint64_t since) const
 {
     history_part out;
     out.revision = since;
@@ -61,10 +62,10 @@
     for (auto it = changes_.lower_bound({since + 1, {}}); it != changes_.end(); ++it)
     {
         const auto& item = it->second.item;
-        const bool is_large = item.value.size() > options_.largest_value;
+        const bool is_large = item.value.size() > options_.max_value_bytes;
         bytes += item.key.size() + (is_large ? 0 : item.value.size());
-        // Changes of one transaction have one revision and stay together.
-        if (bytes > options_.largest_part && !out.events.empty() && item.revision != out.revision)
+        // The changes of one transaction share a revision and are never split between parts.
+        if (bytes > options_.max_part_bytes && !out.events.empty() && item.revision != out.revision)
         {
             out.has_more = true;
             return out;
--- a/src/runlink/control/control_test.cpp
+++ b/src/runlink/control/control_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Keeps the calls that wait for an answer.
+/// A store that queues calls until the test answers them.
 struct fake_kv
 {
     std::deque<std::function<void(kv_result<kv_page>)>> lists;
@@ -51,6 +51,7 @@
     }
 };
 
+/// A store follower on a fake store and a manual clock, with a log of its notifications.
 struct followed
 {
     fake_kv store;
@@ -90,7 +91,7 @@
 
 } // namespace
 
-TEST_CASE("a list, then a watch from its revision, and a proof under the configuration's revision")
+TEST_CASE("the follower lists, watches from the list's revision, and proves the configuration's revision")
 {
     followed f;
     const auto sent = f.now;
@@ -98,7 +99,7 @@
     f.list();
     CHECK(f.told == std::vector<std::string>{"listed 1"});
     CHECK(f.store.watched_after == std::vector<std::uint64_t>{5});
-    CHECK(f.proven == sent); // the list says what the configuration is
+    CHECK(f.proven == sent); // the list contains the configuration
     CHECK(f.store.written.empty());
     f.advance(core::milliseconds{1500});
     REQUIRE(f.store.written.size() == 1);
@@ -106,7 +107,7 @@
     CHECK(f.store.written[0].writes.empty());
 }
 
-TEST_CASE("before the first configuration a list proves that there is none")
+TEST_CASE("a list proves that there is no configuration yet")
 {
     followed f;
     const auto sent = f.now;
@@ -115,7 +116,7 @@
     CHECK(f.proven == sent);
 }
 
-TEST_CASE("pages are watched from the first one's revision on")
+TEST_CASE("a watch starts at the revision of the list's first page")
 {
     followed f;
     fake_kv::answer(f.store.lists, kv_result<kv_page>{kv_page{{{"a", "", 2}}, true, 5}});
@@ -124,7 +125,7 @@
     CHECK(f.store.watched_after == std::vector<std::uint64_t>{5});
 }
 
-TEST_CASE("a proof counts from when it was sent, not from when it was answered")
+TEST_CASE("a proof counts from when its call was sent, not from when it was answered")
 {
     followed f;
     f.list();
@@ -135,7 +136,7 @@
     CHECK(f.proven == sent);
 }
 
-TEST_CASE("a watch that says nothing proves nothing")
+TEST_CASE("a watch without changes is no proof")
 {
     followed f;
     f.list();
@@ -147,7 +148,7 @@
     CHECK(f.store.watched_after.back() == 7);
 }
 
-TEST_CASE("a proof that fails its condition brings the newest configuration and then proves it")
+TEST_CASE("a proof that fails its condition returns the newest configuration and proves it")
 {
     followed f;
     f.list();
@@ -160,7 +161,7 @@
     CHECK(f.store.written.back().conditions[0].revision == 8);
 }
 
-TEST_CASE("history that is gone is made up by a new list")
+TEST_CASE("the store is listed again if the history for a watch is gone")
 {
     followed f;
     f.list();
@@ -171,7 +172,7 @@
     CHECK(f.it.is_connected());
 }
 
-TEST_CASE("an outage is told once, calls are tried again, and the return is told")
+TEST_CASE("an outage is reported once, calls are retried, and the recovery is reported")
 {
     followed f;
     f.list();
@@ -187,7 +188,7 @@
     CHECK(f.told.back() == "regained");
 }
 
-TEST_CASE("changes are gathered before the next watch, and what a cancelled watch says is dropped")
+TEST_CASE("changes are collected before the next watch, for longer shortly after the start")
 {
     followed f;
     f.list();
@@ -196,7 +197,7 @@
     CHECK(f.told == std::vector<std::string>{"listed 1", "changed x", "gone y"});
     CHECK(f.store.watches.empty());
     f.advance(core::milliseconds{150});
-    CHECK(f.store.watches.empty()); // soon after the start more is gathered
+    CHECK(f.store.watches.empty()); // shortly after the start changes are collected for longer
     f.advance(core::milliseconds{550});
     CHECK(f.store.watched_after.back() == 7);
     f.advance(core::milliseconds{2000});
@@ -205,7 +206,7 @@
     CHECK(f.store.watched_after.back() == 8);
 }
 
-TEST_CASE("a watch from before an outage is begun anew after it: it may wait on a connection that is dead")
+TEST_CASE("the watch is restarted after an outage, since its connection may be dead")
 {
     followed f;
     f.list();
@@ -219,18 +220,18 @@
     CHECK(f.store.watched_after.back() == 5);
 }
 
-TEST_CASE("a proof that tells of changes which the watch does not bring has it begun anew")
+TEST_CASE("the watch is restarted if it doesn't deliver changes that a proof has revealed")
 {
     followed f;
     f.list();
     f.advance(core::milliseconds{1500});
     fake_kv::answer(f.store.commits, kv_commit_result{kv_committed{9}});
     f.advance(core::milliseconds{100});
-    CHECK(f.store.watches.size() == 1); // the changes may be under way
+    CHECK(f.store.watches.size() == 1); // the changes may still arrive
     f.advance(core::milliseconds{200});
     CHECK(f.store.cancelled == 1);
     CHECK(f.store.watches.size() == 2);
-    // One that has brought them in the meantime goes on.
+    // A watch that has delivered the changes in time is not restarted.
     f.advance(core::milliseconds{1200});
     fake_kv::answer(f.store.commits, kv_commit_result{kv_committed{9}});
     f.store.watches.pop_front();
@@ -239,7 +240,7 @@
     CHECK(f.store.cancelled == 1);
 }
 
-TEST_CASE("after the process stood still the watch is begun anew and the configuration proven at once")
+TEST_CASE("after the process was suspended the watch is restarted and the configuration proven at once")
 {
     followed f;
     f.list();
@@ -251,15 +252,15 @@
     CHECK(f.store.written.size() == 1);
 }
 
-TEST_CASE("changes that come one by one within the gathering time cost one watch")
+TEST_CASE("changes within the collection time cost one watch")
 {
     followed f;
     f.list();
-    f.advance(core::milliseconds{3000}); // the start is over
+    f.advance(core::milliseconds{3000}); // the start-up time is over
     f.it.set_gather(core::milliseconds{400});
     const auto before = f.store.watched_after.size();
     std::uint64_t revision = 5;
-    for (int n = 0; n < 20; ++n) // an endpoint each 100 ms
+    for (int n = 0; n < 20; ++n) // one endpoint every 100 ms
     {
         ++revision;
         if (!f.store.watches.empty())
--- a/src/runlink/control/finding_registry.cpp
+++ b/src/runlink/control/finding_registry.cpp
@@ -11,20 +11,20 @@
 {
 }
 
-void finding_registry::arm(core::time_point at)
+void finding_registry::schedule(core::time_point at)
 {
-    next_ = std::min(next_.value_or(at), at);
+    next_call_ = std::min(next_call_.value_or(at), at);
 }
 
 bool finding_registry::found(core::time_point now, crashes::request_fingerprint it)
 {
     if (listed_.contains(it))
         return true;
-    if (listed_.size() + to_put_.size() >= options_.most_listed)
+    if (listed_.size() + to_put_.size() >= options_.max_listed)
         return false;
     to_remove_.erase(it);
     to_put_.insert(it);
-    arm(now);
+    schedule(now);
     return true;
 }
 
@@ -34,7 +34,7 @@
     if (!listed_.contains(it))
         return;
     to_remove_.insert(it);
-    arm(now);
+    schedule(now);
 }
 
 void finding_registry::listed(crashes::request_fingerprint it)
@@ -45,17 +45,17 @@
 
 void finding_registry::tick(core::time_point now)
 {
-    if (!next_ || now < *next_)
+    if (!next_call_ || now < *next_call_)
         return;
-    next_.reset();
+    next_call_.reset();
     if (is_writing_)
         return;
     finding_batch batch;
     for (const auto it : to_put_)
-        if (batch.put.size() < options_.most_in_call)
+        if (batch.put.size() < options_.max_per_call)
             batch.put.push_back(it);
     for (const auto it : to_remove_)
-        if (batch.put.size() + batch.removed.size() < options_.most_in_call)
+        if (batch.put.size() + batch.removed.size() < options_.max_per_call)
             batch.removed.push_back(it);
     if (batch.put.empty() && batch.removed.empty())
         return;
@@ -77,7 +77,7 @@
         }
     }
     if (!to_put_.empty() || !to_remove_.empty())
-        arm(is_done ? now : now + options_.retry_after);
+        schedule(is_done ? now : now + options_.retry_after);
 }
 
 } // namespace runlink::control
--- a/src/runlink/control/finding_registry_test.cpp
+++ b/src/runlink/control/finding_registry_test.cpp
@@ -13,7 +13,7 @@
 constexpr crashes::request_fingerprint first{1};
 constexpr crashes::request_fingerprint second{2};
 
-/// A registry, and a store that answers when it is told to.
+/// A registry with a store that answers when the test calls `answer`.
 struct registry_under_test
 {
     core::time_point now{core::seconds{10}};
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("a finding is written until the store has it")
+TEST_CASE("writing a finding is retried until it succeeds")
 {
     registry_under_test by;
     CHECK(by.it.found(by.now, first));
@@ -53,7 +53,7 @@
     CHECK_FALSE(by.it.next_due());
 }
 
-TEST_CASE("a finding that another instance wrote meanwhile is not written, and one that is over is removed")
+TEST_CASE("a finding that another instance has written is not written again, and an expired one is removed")
 {
     registry_under_test by;
     by.it.found(by.now, first);
@@ -61,7 +61,7 @@
     by.it.tick(by.now);
     CHECK(by.written.empty());
     by.it.expired(by.now, first);
-    by.it.expired(by.now, second); // the store has none
+    by.it.expired(by.now, second); // not in the store
     by.it.tick(by.now);
     REQUIRE(by.written.size() == 1);
     CHECK(by.written[0].removed == std::vector{first});
@@ -69,10 +69,10 @@
     CHECK(by.it.all().empty());
 }
 
-TEST_CASE("findings beyond what the store may hold stay in memory, and this is told")
+TEST_CASE("findings beyond the store's limit are rejected")
 {
     finding_options options;
-    options.most_listed = 1;
+    options.max_listed = 1;
     registry_under_test by{options};
     CHECK(by.it.found(by.now, first));
     CHECK_FALSE(by.it.found(by.now, second));
--- a/src/runlink/control/join_test.cpp
+++ b/src/runlink/control/join_test.cpp
@@ -1,4 +1,4 @@
-// How a fleet starts: who reads the store, and with how many calls the entries get there.
+// Start of a fleet: which instances read the store, and how many calls write their entries.
 
 #include <string>
 #include <vector>
@@ -15,6 +15,7 @@
 namespace
 {
 
+/// An instance "me" that joins, with a log of the actions that it triggers.
 struct joining
 {
     core::time_point now{core::seconds{100}};
@@ -75,6 +76,7 @@
     return {core::instance_id{id}, core::failure_domain_id{"n"}, "10.0.0.1", port, 10};
 }
 
+/// A member registry with a log of its store calls.
 struct registering
 {
     core::time_point now{core::seconds{100}};
@@ -96,7 +98,7 @@
 
 } // namespace
 
-TEST_CASE("an instance takes a seed's view, whole, and settles when its own entry is there")
+TEST_CASE("an instance takes a seed's complete view, and settles after its own entry is listed")
 {
     joining f{{"s1", "s2", "s3"}};
     REQUIRE(f.asked.size() == 1);
@@ -116,7 +118,7 @@
     CHECK(f.asked.size() == 2);
 }
 
-TEST_CASE("a part that answers an earlier question, or is from the middle, is no view")
+TEST_CASE("a part is ignored if it answers an earlier request or parts before it are missing")
 {
     joining f{{"s1", "s2"}};
     auto late = f.part(0, 5, true);
@@ -130,7 +132,7 @@
     CHECK(f.told.size() == 2);
 }
 
-TEST_CASE("a whole view of a seed that had none at first is taken, and of no other one parts")
+TEST_CASE("a late complete view of another seed is taken, and drops the parts received before")
 {
     joining f{{"s1", "s2"}};
     auto late = f.part(0, 9, false);
@@ -142,7 +144,7 @@
     CHECK(f.told == std::vector<std::string>{"view 9", "by i1"});
 }
 
-TEST_CASE("parts of the views of two seeds are not put together")
+TEST_CASE("parts of the views of two seeds are not combined")
 {
     joining f{{"s1", "s2"}};
     f.it.on_reply(f.now, f.part(0, 5, true));
@@ -152,7 +154,7 @@
     CHECK(f.view.size() == 1);
 }
 
-TEST_CASE("without a seed that answers the store is read, once")
+TEST_CASE("the store is read once if no seed answers")
 {
     joining f{{"s1", "s2"}};
     f.advance(1400);
@@ -165,13 +167,13 @@
     CHECK(f.told.back() == "settled");
 }
 
-TEST_CASE("a seed reads the store at once, and so does one that knows none")
+TEST_CASE("an instance without seeds reads the store at once")
 {
     joining f{{}};
     CHECK(f.told == std::vector<std::string>{"list", "by me"});
 }
 
-TEST_CASE("an entry that nobody lists is announced by the instance itself")
+TEST_CASE("an instance announces its entry itself if no other instance has written it")
 {
     joining f{{"s1"}};
     f.it.on_reply(f.now, f.part(0, 5, false));
@@ -183,7 +185,7 @@
     CHECK(f.it.is_settled());
 }
 
-TEST_CASE("the entries of a fleet that starts are written with a call for each 32")
+TEST_CASE("entries announced together are written with one call per 32")
 {
     registering f;
     for (int n = 0; n < 100; ++n)
@@ -197,7 +199,7 @@
         CHECK(it.put.size() <= 32);
 }
 
-TEST_CASE("an entry that the store has costs no call, unless the address is another one")
+TEST_CASE("an entry in the store is written again only if the address has changed")
 {
     registering f;
     f.it.listed(entry("a"));
@@ -210,7 +212,7 @@
     CHECK(f.written[0].put.at(0).port == 7200);
 }
 
-TEST_CASE("a call that failed is made again; one that is done is not")
+TEST_CASE("a failed call is retried, a successful one is not")
 {
     registering f;
     f.it.announce(f.now, entry("a"));
@@ -227,7 +229,7 @@
     CHECK(f.written.size() == 2);
 }
 
-TEST_CASE("an instance that is gone is removed, and written again when it is heard")
+TEST_CASE("the entry of an instance that is gone is removed, and written again after a new announcement")
 {
     registering f;
     f.it.listed(entry("a"));
@@ -241,18 +243,18 @@
     CHECK(f.written.size() == 2);
 }
 
-TEST_CASE("deletions are forgotten beyond a number, and who asks from before them is told so")
+TEST_CASE("the oldest deletions are forgotten, and earlier revisions are reported as not covered")
 {
     history_options options;
-    options.kept_deletions = 2;
+    options.max_deletions = 2;
     change_history it{options};
     it.reset({{"a", "", 1}, {"b", "", 2}, {"c", "", 3}, {"d", "", 4}}, 4);
-    CHECK_FALSE(it.reaches(3));
+    CHECK_FALSE(it.covers(3));
     std::uint64_t revision = 4;
     for (const auto* key : {"a", "b", "c"})
         it.remember({{key, "", ++revision}, true});
-    CHECK_FALSE(it.reaches(4));
-    CHECK(it.reaches(5));
-    const auto all = it.behind(0);
-    CHECK(all.events.size() == 3); // "d" as it is, and two deletions
+    CHECK_FALSE(it.covers(4));
+    CHECK(it.covers(5));
+    const auto all = it.changes_after(0);
+    CHECK(all.events.size() == 3); // the item "d" and two deletions
 }
--- a/src/runlink/control/member_registry.cpp
+++ b/src/runlink/control/member_registry.cpp
@@ -39,7 +39,7 @@
     if (found != listed_.end() && found->second == it)
         return;
     to_put_[it.id] = it;
-    arm(now + options_.gather);
+    schedule(now + options_.gather);
 }
 
 void member_registry::withdraw(core::time_point now, const core::instance_id& id)
@@ -48,20 +48,20 @@
     if (!listed_.contains(id))
         return;
     to_remove_.insert(id);
-    arm(now + options_.gather);
+    schedule(now + options_.gather);
 }
 
-void member_registry::arm(core::time_point at)
+void member_registry::schedule(core::time_point at)
 {
-    if (!next_)
-        next_ = at;
+    if (!next_call_)
+        next_call_ = at;
 }
 
 void member_registry::tick(core::time_point now)
 {
-    if (!next_ || now < *next_)
+    if (!next_call_ || now < *next_call_)
         return;
-    next_.reset();
+    next_call_.reset();
     while (!to_put_.empty() || !to_remove_.empty())
         send(now);
 }
@@ -69,9 +69,9 @@
 void member_registry::send(core::time_point now)
 {
     registry_batch batch;
-    while (!to_put_.empty() && batch.put.size() < options_.most_in_call)
+    while (!to_put_.empty() && batch.put.size() < options_.max_per_call)
         batch.put.push_back(to_put_.extract(to_put_.begin()).mapped());
-    while (!to_remove_.empty() && batch.put.size() + batch.removed.size() < options_.most_in_call)
+    while (!to_remove_.empty() && batch.put.size() + batch.removed.size() < options_.max_per_call)
         batch.removed.push_back(to_remove_.extract(to_remove_.begin()).value());
     write_(batch, [this, now, batch](registry_outcome it) { on_done(now, batch, it); });
 }
@@ -86,13 +86,13 @@
             unlisted(it);
         return;
     }
-    // A call without an answer may have been done; doing it again changes nothing.
+    // A call without an answer may have been applied. Repeating it is harmless.
     for (const auto& it : batch.put)
         to_put_.emplace(it.id, it);
     for (const auto& it : batch.removed)
         if (!to_put_.contains(it))
             to_remove_.insert(it);
-    arm(sent_at + options_.retry_after);
+    schedule(sent_at + options_.retry_after);
 }
 
 } // namespace runlink::control
--- a/src/runlink/control/relay.cpp
+++ b/src/runlink/control/relay.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// After so many rounds the own failure domain's relays are tried again before those of others.
-constexpr std::uint64_t rounds_to_prefer_near = 16;
+/// Number of rounds after which the relays of the own failure domain are again asked first.
+constexpr std::uint64_t local_relay_retry_rounds = 16;
 
 } // namespace
 
@@ -32,21 +32,21 @@
     out.ask_interval = unit * 2;
     out.answer_timeout = unit;
     out.gather = unit;
-    out.oldest_proof = unit * 9 / 2;
-    out.lost_interval = unit * 4;
+    out.max_proof_age = unit * 9 / 2;
+    out.no_proof_interval = unit * 4;
     return out;
 }
 
 void relay::start(time_point now)
 {
-    introducer_.reset();
-    choice_ = 0;
-    next_ = now + options_.first_choice;
+    initial_source_.reset();
+    first_source_ = 0;
+    next_ = now + options_.first_choice_delay;
 }
 
 void relay::introduce(time_point now, const instance_id& by)
 {
-    introducer_ = by;
+    initial_source_ = by;
     next_ = now;
 }
 
@@ -57,16 +57,16 @@
     if (id == self_)
         return;
     peers_[id] = {domain, link_mbps};
-    choice_ = 0;
+    first_source_ = 0;
 }
 
 void relay::remove_peer(const instance_id& id)
 {
     peers_.erase(id);
     subscribers_.erase(id);
-    heard_.erase(id);
+    last_request_at_.erase(id);
     unanswered_.erase(id);
-    choice_ = 0;
+    first_source_ = 0;
 }
 
 std::vector<instance_id> relay::relays(const core::failure_domain_id& domain) const
@@ -98,8 +98,8 @@
 
 std::vector<instance_id> relay::sources() const
 {
-    if (introducer_)
-        return {*introducer_};
+    if (initial_source_)
+        return {*initial_source_};
     auto out = relays(domain_);
     std::erase(out, self_);
     const auto others = other_relays();
@@ -122,52 +122,53 @@
 
 bool relay::follows_store() const
 {
-    if (introducer_)
-        return *introducer_ == self_;
+    if (initial_source_)
+        return *initial_source_ == self_;
     return !is_used() || relays(domain_).front() == self_;
 }
 
 bool relay::has_proof(time_point now) const
 {
     const auto age = hooks_.view(now).proof_age;
-    return age && *age <= options_.oldest_proof;
+    return age && *age <= options_.max_proof_age;
 }
 
 void relay::check_members(time_point now)
 {
-    if (introducer_)
+    if (initial_source_)
         return;
     const auto front = relays(domain_).front();
     const bool is_relay = front == self_;
     relay_since_ = is_relay ? std::optional{relay_since_.value_or(now)} : std::nullopt;
     std::vector<instance_id> gone;
     for (const auto& [id, it] : peers_)
-        if (it.domain == domain_ && (asks_nothing(now, id) || answers_nothing(now, id)))
+        if (it.domain == domain_ && (has_stopped_asking(now, id) || has_stopped_answering(now, id)))
             gone.push_back(id);
     for (const auto& id : gone)
         hooks_.forget(now, id);
-    // The relay has to hear of those that follow the store themselves as well.
+    // The relay must also hear from instances that follow the store themselves.
     if (is_relay || !follows_store() || now < next_heartbeat_)
         return;
     next_heartbeat_ = now + options_.heartbeat;
     ask_one(now, front);
 }
 
-bool relay::asks_nothing(time_point now, const instance_id& id) const
+bool relay::has_stopped_asking(time_point now, const instance_id& id) const
 {
     if (!relay_since_)
-        return false; // others ask the relay
-    const auto heard = heard_.find(id);
-    const auto last = heard == heard_.end() ? *relay_since_ : std::max(heard->second, *relay_since_);
+        return false; // followers send requests only to the relay
+    const auto heard = last_request_at_.find(id);
+    const auto last =
+        heard == last_request_at_.end() ? *relay_since_ : std::max(heard->second, *relay_since_);
     return now - last > options_.forget_after;
 }
 
-bool relay::answers_nothing(time_point now, const instance_id& id) const
+bool relay::has_stopped_answering(time_point now, const instance_id& id) const
 {
     const auto asked = unanswered_.find(id);
-    if (asked == unanswered_.end() || asked->second.count < options_.least_unanswered)
+    if (asked == unanswered_.end() || asked->second.count < options_.min_unanswered)
         return false;
-    const auto steps = static_cast<std::uint64_t>(options_.forget_spread.count());
+    const auto steps = static_cast<std::uint64_t>(options_.forget_jitter.count());
     const auto spread = milliseconds{static_cast<milliseconds::rep>(core::stable_hash(self_.str()) % steps)};
     return now - asked->second.first > options_.forget_after + spread;
 }
@@ -184,7 +185,7 @@
 {
     if (!next_)
         return;
-    heard_.clear();
+    last_request_at_.clear();
     unanswered_.clear();
     relay_since_.reset();
     asked_at_.reset();
@@ -212,14 +213,14 @@
 void relay::begin_round(time_point now)
 {
     next_ = now + options_.ask_interval;
-    tried_ = 0;
-    if (++rounds_ % rounds_to_prefer_near == 0)
-        choice_ = 0;
+    sources_tried_ = 0;
+    if (++rounds_ % local_relay_retry_rounds == 0)
+        first_source_ = 0;
     check_members(now);
     if (!follows_store())
         return ask(now);
     set_direct(now, true);
-    // One that has lost the store takes proofs from other relays until it is back.
+    // A relay that has lost the store uses the proofs of other relays until the store answers again.
     if (is_used() && !has_proof(now))
         ask(now);
 }
@@ -227,11 +228,11 @@
 void relay::ask(time_point now)
 {
     const auto all = sources();
-    if (tried_ >= all.size())
-        return on_all_lost(now);
+    if (sources_tried_ >= all.size())
+        return on_no_source_left(now);
     asked_at_ = now;
     next_ = now + options_.answer_timeout;
-    ask_one(now, all[(choice_ + tried_) % all.size()]);
+    ask_one(now, all[(first_source_ + sources_tried_) % all.size()]);
 }
 
 void relay::ask_one(time_point now, const instance_id& to)
@@ -241,7 +242,7 @@
     out.sender.id = self_;
     out.sender.failure_domain = domain_;
     out.sender.link_mbps = link_mbps_;
-    out.number = ++number_;
+    out.number = ++request_number_;
     out.store_revision = hooks_.view(now).store_revision;
     hooks_.ask(to, out);
 }
@@ -249,36 +250,37 @@
 void relay::on_no_proof(time_point now)
 {
     asked_at_.reset();
-    ++tried_;
+    ++sources_tried_;
     ask(now);
 }
 
-void relay::on_all_lost(time_point now)
+void relay::on_no_source_left(time_point now)
 {
-    // All instances see this in an outage of the store: they ask it ever more seldom, and the relays often.
-    next_ = now + options_.lost_interval;
-    ++lost_rounds_;
-    if (!direct_ && std::has_single_bit(lost_rounds_))
+    // All instances get here during an outage of the store: they probe the store with exponentially growing
+    // intervals, but keep asking the relays at a constant interval.
+    next_ = now + options_.no_proof_interval;
+    ++rounds_without_proof_;
+    if (!direct_ && std::has_single_bit(rounds_without_proof_))
         hooks_.probe(now);
 }
 
 void relay::on_own_proof(time_point now)
 {
-    if (lost_rounds_ > 0)
+    if (rounds_without_proof_ > 0)
         set_direct(now, true);
 }
 
 void relay::on_reply(time_point now, const sync_reply& it)
 {
     unanswered_.erase(it.sender);
-    const bool is_answer = asked_at_ && it.number == number_;
+    const bool is_answer = asked_at_ && it.number == request_number_;
     const bool is_whole = take_events(now, it);
     if (is_whole && it.has_more && !is_answer && !asked_at_)
-        next_ = now; // ask for the rest
+        next_ = now; // request the remaining changes
     if (!is_whole || !is_answer)
         return;
-    if (!it.proof_age || *it.proof_age > options_.oldest_proof)
-        return on_no_proof(now); // it has lost the store itself
+    if (!it.proof_age || *it.proof_age > options_.max_proof_age)
+        return on_no_proof(now); // the relay has lost the store itself
     on_proof(now, it);
 }
 
@@ -286,13 +288,13 @@
 {
     const auto asked_at = *asked_at_;
     asked_at_.reset();
-    choice_ += tried_;
-    lost_rounds_ = 0;
+    first_source_ += sources_tried_;
+    rounds_without_proof_ = 0;
     if (it.configuration_revision != hooks_.view(now).configuration_revision)
     {
-        // One of the two has yet to read the newest configuration: it comes with the next changes.
+        // Either instance may not have the newest configuration yet; it arrives with the next changes.
         next_ = now + options_.answer_timeout;
-        if (++mismatches_ < options_.patience)
+        if (++mismatches_ < options_.max_mismatches)
             return;
         mismatches_ = 0;
         return hooks_.fetch(now, {});
@@ -312,12 +314,12 @@
         if (it.number == 0 || it.store_revision <= own)
             return it.number != 0;
         hooks_.list_again();
-        asked_at_.reset(); // asked again with the list's revision
+        asked_at_.reset(); // the next request uses the revision of the list
         next_ = now + options_.answer_timeout;
         return false;
     }
     if (it.since > own)
-        return false; // there is a gap before these
+        return false; // changes before these events are missing
     std::vector<kv_event> fresh;
     for (const auto& e : it.events)
         if (e.item.revision > own)
--- a/src/runlink/control/relay_answers.cpp
+++ b/src/runlink/control/relay_answers.cpp
@@ -1,4 +1,4 @@
-// What a relay remembers and tells those that ask it.
+// The part of the relay that records changes and replies to requests.
 
 #include <chrono>
 #include <utility>
@@ -31,12 +31,12 @@
     out.complete_since = history_.complete_since();
     if (view.proof_age)
         out.proof_age = std::chrono::ceil<milliseconds>(*view.proof_age);
-    if (!is_joining && !history_.reaches(since))
+    if (!is_joining && !history_.covers(since))
     {
         out.history_gone = true;
         return out;
     }
-    auto part = history_.behind(since);
+    auto part = history_.changes_after(since);
     out.events = std::move(part.events);
     out.omitted = std::move(part.omitted);
     out.has_more = part.has_more;
@@ -49,17 +49,17 @@
 {
     const auto& from = it.sender.id;
     if (it.sender.failure_domain == domain_)
-        heard_[from] = now;
+        last_request_at_[from] = now;
     unanswered_.erase(from);
     const bool has_view = hooks_.view(now).store_revision != 0;
     if (it.is_joining)
     {
-        // Without a view they wait for it: when all start at once it is a moment away.
+        // Without a view, the requests wait until it arrives; if all instances start at once, this is soon.
         for (auto& [group, all] : joiners_)
-            std::erase(all, from); // asked again
+            std::erase(all, from); // replaced by this request
         joiners_[joiner_group{it.store_revision, it.number}].push_back(from);
         if (has_view)
-            answer_joiners_at_ = answer_joiners_at_.value_or(now + options_.joiners_gather);
+            answer_joiners_at_ = answer_joiners_at_.value_or(now + options_.joiners_delay);
         return;
     }
     if (!has_view)
@@ -86,8 +86,8 @@
 void relay::publish(time_point now, std::uint64_t revision)
 {
     std::erase_if(subscribers_,
-                  [&](const auto& it) { return now - it.second.asked > options_.subscription; });
-    std::map<std::uint64_t, std::vector<instance_id>> behind; // most have the same revision
+                  [&](const auto& it) { return now - it.second.asked > options_.subscription_lifetime; });
+    std::map<std::uint64_t, std::vector<instance_id>> behind; // most subscribers have the same revision
     for (const auto& [id, it] : subscribers_)
         if (it.revision < revision)
             behind[it.revision].push_back(id);
@@ -96,7 +96,8 @@
         const auto out = make_reply(now, since, false);
         hooks_.reply(all, out);
         for (const auto& id : all)
-            subscribers_.at(id).revision = out.store_revision; // the rest goes with the next answer
+            subscribers_.at(id).revision =
+                out.store_revision; // the remaining changes are sent with the next reply
     }
 }
 
--- a/src/runlink/control/relay_members_test.cpp
+++ b/src/runlink/control/relay_members_test.cpp
@@ -1,4 +1,4 @@
-// Instances that start, stand still, or are gone, as relays and followers see them.
+// How relays and followers treat instances that start, are suspended, or are gone.
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 using namespace runlink;
 using namespace runlink::control;
 
-TEST_CASE("a relay finds out that an instance asks no more, and a short pause is not the end of one")
+TEST_CASE("a relay reports an instance that has stopped asking, but not after a short pause")
 {
     relayed f{{"n1", "n2", "n3", "n9"}};
     f.advance(3000);
@@ -22,7 +22,7 @@
         CHECK(it == "n1");
 }
 
-TEST_CASE("a relay that is gone is found out by those that ask it, at different times")
+TEST_CASE("followers report a relay that is gone, at different times")
 {
     relayed f{{"n1", "n2", "n3", "n9"}};
     f.advance(3000);
@@ -42,7 +42,7 @@
     CHECK(told > 0);
 }
 
-TEST_CASE("instances that follow the store themselves are heard by the first of their failure domain")
+TEST_CASE("instances that follow the store themselves report to the first relay of their failure domain")
 {
     relayed f{{"n1", "n9"}};
     f.advance(30000);
@@ -50,7 +50,7 @@
     CHECK(f.members.at("n9").forgotten.empty());
 }
 
-TEST_CASE("an instance that starts is answered with all that the store holds, together with others")
+TEST_CASE("joining instances get the whole view in a common reply")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -77,7 +77,8 @@
     CHECK(f.answers[0].events[0].item.key == "conf");
 }
 
-TEST_CASE("an instance without a view answers those that start when it has one, and others not at all")
+TEST_CASE(
+    "an instance without a view answers joining instances once it has one, and other requests not at all")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     auto& seed = f.members.at("n1");
@@ -98,7 +99,7 @@
     CHECK(f.answers[0].events.size() == 1);
 }
 
-TEST_CASE("until relays are chosen an instance asks the one that introduced it and nobody follows the store")
+TEST_CASE("until relays are chosen, all instances ask the initial source, which alone follows the store")
 {
     relayed f{{"n1", "n2", "n3", "n9"}};
     for (auto& it : f.all)
@@ -112,7 +113,7 @@
     CHECK(f.direct() == std::vector<std::string>{"n9"});
 }
 
-TEST_CASE("a relay that stood still does not take the others' silence for their end")
+TEST_CASE("a relay that was suspended does not report the other instances as gone")
 {
     relayed f{{"n1", "n2", "n3", "n9"}};
     f.advance(3000);
@@ -127,11 +128,10 @@
     auto& follower = f.follower();
     follower.logic->on_wake(f.now);
     f.advance(1);
-    CHECK(follower.proven); // it asks at once
+    CHECK(follower.proven); // it sends a request at once
 }
 
-TEST_CASE(
-    "those that ask a relay which has just started learn what was deleted before, and read nothing anew")
+TEST_CASE("followers of a relay that has just started get earlier deletions without listing the store")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
--- a/src/runlink/control/relay_test.cpp
+++ b/src/runlink/control/relay_test.cpp
@@ -1,4 +1,4 @@
-// Who follows the store, who asks whom, and how old a proof may be.
+// Relays: which instances follow the store, which relays followers ask, and the age of proofs.
 
 #include <catch2/catch.hpp>
 
@@ -7,17 +7,17 @@
 using namespace runlink;
 using namespace runlink::control;
 
-TEST_CASE("one instance of a failure domain follows the store, the others ask it")
+TEST_CASE("one instance of each failure domain follows the store, the others ask it")
 {
     relayed f{{"n1", "n2", "n3", "n4", "n5"}};
     CHECK(f.direct().empty());
     f.advance(2100);
     CHECK(f.direct().size() == 1);
-    // The proof is as old as the relay said, counted from the question.
+    // The age reported by the relay counts from the time of the request.
     CHECK(f.follower().proven <= f.now - core::milliseconds{100});
 }
 
-TEST_CASE("changes reach followers when the relays have them, once")
+TEST_CASE("a relay sends each change to its followers at once, and only once")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -28,32 +28,32 @@
     CHECK(f.follower().view.store_revision == 11);
 }
 
-TEST_CASE("a large value is fetched, and nothing is proven until it is there")
+TEST_CASE("a large value is read from the store, and there is no proof before it arrives")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
     auto& follower = f.follower();
     for (const auto& name : f.direct())
         f.members.at(name).view.configuration_revision = 11;
-    f.change("conf", 11, std::string(relay_options{}.history.largest_value + 1, 'x'));
+    f.change("conf", 11, std::string(relay_options{}.history.max_value_bytes + 1, 'x'));
     CHECK(follower.told == std::vector<std::string>{"fetch conf"});
     follower.proven.reset();
     f.advance(400);
     CHECK_FALSE(follower.proven);
 }
 
-TEST_CASE("where the relay is gone its stand-by follows the store, and a follower asks that one")
+TEST_CASE("if the relay is gone, its stand-by follows the store and answers the followers")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
     const auto relay = f.direct().at(0);
     f.members.at(relay).silent = true;
     f.advance(4000);
-    CHECK(f.direct().size() == 2); // the silent one does not know that nobody hears it
+    CHECK(f.direct().size() == 2); // the silent relay still follows the store
     CHECK(f.follower().proven >= f.now - core::milliseconds{1000});
 }
 
-TEST_CASE("where no relay answers the store itself is asked, until one answers again")
+TEST_CASE("if no relay answers, the store itself is asked until a relay answers again")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -67,7 +67,7 @@
     CHECK(f.direct().size() == 1);
 }
 
-TEST_CASE("a failure domain whose relays have lost the store takes proofs from another one")
+TEST_CASE("followers use proofs of another failure domain if their own relays have lost the store")
 {
     relayed f{{"n1", "n2", "n3", "s1", "s2", "s3"}};
     f.advance(3000);
@@ -79,7 +79,7 @@
     CHECK(f.members.at("n3").probes == 0);
 }
 
-TEST_CASE("in an outage of the store it is asked ever more seldom, and used at once when it is back")
+TEST_CASE("during an outage the store is probed with backoff, and used again when it is back")
 {
     relayed f{{"n1", "n2", "n3", "n4", "s1", "s2"}};
     f.advance(3000);
@@ -102,7 +102,7 @@
         CHECK((it.direct || it.proven));
 }
 
-TEST_CASE("one that finds the store where no relay has it follows it by itself")
+TEST_CASE("an instance that reaches the store while no relay does follows it directly")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -118,7 +118,7 @@
     CHECK(f.direct() == std::vector<std::string>{"n9", "s9"});
 }
 
-TEST_CASE("a relay that proves a configuration which nobody sends has the store asked for it")
+TEST_CASE("a configuration that a relay proves but doesn't send is read from the store")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -131,7 +131,7 @@
     CHECK(follower.told.at(0) == "fetch ");
 }
 
-TEST_CASE("a follower that missed more than a relay remembers reads everything anew")
+TEST_CASE("a follower lists the store again if the relay's history doesn't cover its revision")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -144,10 +144,10 @@
     f.advance(1000);
     REQUIRE_FALSE(follower.told.empty());
     CHECK(follower.told.front() == "list");
-    CHECK_FALSE(follower.direct); // it has only to read, and then asks the relay again
+    CHECK_FALSE(follower.direct); // after the list it asks the relay again
 }
 
-TEST_CASE("more changes than fit into one datagram come in several, in order and without a gap")
+TEST_CASE("changes too large for one datagram arrive in several, in order and without gaps")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
@@ -167,27 +167,28 @@
     CHECK(follower.view.store_revision == 70);
 }
 
-TEST_CASE("a few instances follow the store all by themselves")
+TEST_CASE("with few instances, all of them follow the store")
 {
     relayed f{{"n1", "n2"}};
     f.advance(3000);
     CHECK(f.direct().size() == 2);
 }
 
-TEST_CASE("a follower learns of a lost relay well within the time in which changes must be in force")
+TEST_CASE("a follower notices a lost relay within 85 % of the time limit for changes")
 {
     for (const auto apply : {core::milliseconds{2000}, core::milliseconds{3000}})
     {
         const auto it = relay_options::within(apply);
-        CHECK(it.oldest_proof + it.ask_interval + 2 * it.answer_timeout <= apply * 85 / 100);
-        CHECK(it.proof_interval() < it.oldest_proof);
-        // What is gathered twice, at the relay and on the way, is still a small part.
+        CHECK(it.max_proof_age + it.ask_interval + 2 * it.answer_timeout <= apply * 85 / 100);
+        CHECK(it.proof_interval() < it.max_proof_age);
+        // Changes may be collected twice, at the relay and on the way; the delay remains a small part of the
+        // limit.
         CHECK(it.gather * 4 <= apply);
         CHECK(it.gather >= core::milliseconds{200});
     }
 }
 
-TEST_CASE("of changes of one key only the newest is kept for those who ask")
+TEST_CASE("only the latest change of a key is kept for followers")
 {
     relayed f{{"n1", "n2", "n3", "n4"}};
     f.advance(3000);
--- a/src/runlink/control/relayed_fixture.hpp
+++ b/src/runlink/control/relayed_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Instances with links and ways to the store that can be cut, on a paused clock.
+/// Simulated relays on a manual clock, whose links to each other and to the store can be cut.
 #pragma once
 
 #include <map>
@@ -16,11 +16,11 @@
 inline relay_options small_options()
 {
     relay_options out;
-    out.least_members = 3;
+    out.min_members = 3;
     return out;
 }
 
-/// Instances with links and ways to the store that can be cut. A name's first letter is its failure domain.
+/// A set of instances. The first letter of an instance's name is its failure domain.
 struct relayed
 {
     struct member
@@ -28,11 +28,11 @@
         relay* logic = nullptr;
         store_view view{10, 3, core::milliseconds{100}};
         bool direct = false;
-        bool silent = false; ///< hears nothing
-        bool paused = false; ///< does nothing
+        bool silent = false; ///< receives no requests
+        bool paused = false; ///< its timers don't run
         bool has_store = true;
         int probes = 0;
-        std::vector<std::string> told;
+        std::vector<std::string> told; ///< applied keys, fetches and lists
         std::vector<std::string> forgotten;
         std::optional<core::time_point> proven;
     };
@@ -65,7 +65,7 @@
         return core::failure_domain_id{name.substr(0, 1)};
     }
 
-    /// Those whose name ends in 9 have a fast link.
+    /// Instances whose name ends in 9 have a fast link.
     static std::uint32_t link_of(const std::string& name) { return name.back() == '9' ? 1000 : 10; }
 
     relay_hooks hooks(const std::string& name)
@@ -105,7 +105,7 @@
         return out;
     }
 
-    /// The store cannot be reached from these instances any more.
+    /// Cuts these instances off from the store.
     void lose_store(const std::vector<std::string>& from)
     {
         for (const auto& it : from)
--- a/src/runlink/control/store_follower.cpp
+++ b/src/runlink/control/store_follower.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Doublings of a retry's delay before the longest one holds anyway.
+/// Maximum number of doublings of the retry delay; by then the upper limit applies anyway.
 constexpr std::uint32_t max_doublings = 5;
 
 } // namespace
@@ -56,7 +56,7 @@
         list();
     if (is_due(next_watch_))
         watch();
-    if (is_due(check_watch_at_))
+    if (is_due(next_watch_check_))
         check_watch();
     if (is_due(next_proof_))
         prove(now);
@@ -65,7 +65,7 @@
 std::optional<time_point> store_follower::next_due() const
 {
     std::optional<time_point> out;
-    for (const auto& it : {next_list_, next_watch_, next_proof_, check_watch_at_})
+    for (const auto& it : {next_list_, next_watch_, next_proof_, next_watch_check_})
         if (it)
             out = out ? std::min(*out, *it) : it;
     return out;
@@ -74,7 +74,7 @@
 milliseconds store_follower::retry_delay() const
 {
     const auto doublings = std::min(failures_, max_doublings);
-    return std::min(options_.first_retry * (1U << doublings), options_.longest_retry);
+    return std::min(options_.min_retry_delay * (1U << doublings), options_.max_retry_delay);
 }
 
 void store_follower::note_failure(time_point now, kv_error why)
@@ -94,7 +94,7 @@
     const auto away = now - *lost_at_;
     lost_at_.reset();
     hooks_.regained(now, away);
-    watch_anew(); // one from before may wait on a connection that is dead
+    restart_watch(); // the previous watch may wait on a dead connection
 }
 
 void store_follower::prove_soon(time_point now, milliseconds after)
@@ -110,7 +110,7 @@
     if (direct)
     {
         watch();
-        // Without a configuration in the list there is nothing to prove yet.
+        // Without an earlier proof, e.g. if the list had no configuration, there is nothing to prove yet.
         return prove_soon(now, proven_at_ ? time_to_proof(now) : options_.first_gather);
     }
     ++watch_number_;
@@ -140,7 +140,7 @@
     if (is_listing_)
         return;
     is_listing_ = true;
-    ++watch_number_; // what a watch under way still tells is older than the list
+    ++watch_number_; // ignores the result of a pending watch, which is older than the list
     if (std::exchange(is_watching_, false))
         store_.cancel_watch();
     next_watch_.reset();
@@ -161,7 +161,7 @@
         return;
     }
     auto& it = std::get<kv_page>(page);
-    // Pages are no snapshot: changes are watched from the first page on.
+    // The pages are no snapshot, so changes are watched from the revision of the first page.
     if (list_revision_ == 0)
         list_revision_ = it.store_revision;
     std::move(it.items.begin(), it.items.end(), std::back_inserter(pages_));
@@ -179,7 +179,7 @@
     const bool has_configuration = std::any_of(pages_.begin(), pages_.end(), is_configuration);
     take_list(now, std::exchange(pages_, {}), list_revision_);
     watch();
-    // Before the first configuration a list proves that there is none.
+    // Without a known configuration, a list without one proves that there is none.
     if (has_configuration || configuration_revision_ == 0)
         note_proof(list_sent_at_);
     if (is_direct_)
@@ -210,16 +210,16 @@
     if (is_watching_ || is_listing_ || !is_listed_ || !is_direct_)
         return;
     is_watching_ = true;
-    const auto number = ++watch_number_;
+    const auto watch_number = ++watch_number_;
     store_.watch(revision_, options_.watch_wait,
-                 [this, number](kv_result<kv_changes> it)
+                 [this, watch_number](kv_result<kv_changes> it)
                  {
-                     if (number == watch_number_)
+                     if (watch_number == watch_number_)
                          on_changes(std::move(it));
                  });
 }
 
-void store_follower::watch_anew()
+void store_follower::restart_watch()
 {
     if (!is_watching_)
         return;
@@ -233,14 +233,14 @@
 {
     if (!is_direct_)
         return;
-    watch_anew();
+    restart_watch();
     prove_soon(now, milliseconds{0});
 }
 
 void store_follower::check_watch()
 {
     if (proven_revision_ > revision_)
-        watch_anew();
+        restart_watch();
 }
 
 void store_follower::on_changes(kv_result<kv_changes> changes)
@@ -269,7 +269,7 @@
 
 milliseconds store_follower::gather(time_point now) const
 {
-    return now - started_at_ < options_.start_time ? options_.first_gather : options_.gather;
+    return now - started_at_ < options_.startup_time ? options_.first_gather : options_.gather;
 }
 
 void store_follower::note_proof(time_point sent_at)
@@ -320,7 +320,7 @@
     {
         proven_revision_ = done->revision;
         if (proven_revision_ > revision_)
-            check_watch_at_ = now + options_.watch_lag;
+            next_watch_check_ = now + options_.max_watch_lag;
     }
     if (is_direct_)
         next_proof_ = sent_at + std::max(options_.proof_interval, milliseconds{1});
