--- a/include/runlink/control/store_follower.hpp
+++ b/include/runlink/control/store_follower.hpp
@@ -31,8 +31,8 @@
     milliseconds gather{150};
     /// This delay shortly after the start, since all instances may start at once and the entry of each is a
     /// change.
-    milliseconds first_gather{700};
-    milliseconds startup_time{2000};   ///< how long `first_gather` applies after the start
+    milliseconds startup_gather_delay{700};
+    milliseconds startup_time{2000};   ///< how long `startup_gather_delay` applies after the start
     milliseconds proof_interval{1500}; ///< three intervals fit into the maximum age allowed for account keys
     /// If a proof returns a store revision with unknown changes, the watch must deliver them within this
     /// time; otherwise it is restarted.
@@ -107,7 +107,7 @@
     void note_success(time_point now);
     void remember(const kv_item& item, bool is_deleted);
     void note_proof(time_point sent_at);
-    milliseconds gather(time_point now) const;
+    milliseconds watch_delay(time_point now) const;
     /// Time until the latest proof is one `proof_interval` old.
     milliseconds time_to_proof(time_point now) const;
     milliseconds retry_delay() const;
--- a/src/runlink/control/store_follower.cpp
+++ b/src/runlink/control/store_follower.cpp
@@ -111,7 +111,7 @@
     {
         watch();
         // Without an earlier proof, e.g. if the list had no configuration, there is nothing to prove yet.
-        return prove_soon(now, proven_at_ ? time_to_proof(now) : options_.first_gather);
+        return prove_soon(now, proven_at_ ? time_to_proof(now) : options_.startup_gather_delay);
     }
     ++watch_number_;
     if (std::exchange(is_watching_, false))
@@ -264,12 +264,12 @@
         hooks_.changed(now, e);
     }
     hooks_.caught_up(now, revision_);
-    next_watch_ = it.events.empty() ? now : now + gather(now);
+    next_watch_ = it.events.empty() ? now : now + watch_delay(now);
 }
 
-milliseconds store_follower::gather(time_point now) const
+milliseconds store_follower::watch_delay(time_point now) const
 {
-    return now - started_at_ < options_.startup_time ? options_.first_gather : options_.gather;
+    return now - started_at_ < options_.startup_time ? options_.startup_gather_delay : options_.gather;
 }
 
 void store_follower::note_proof(time_point sent_at)
