--- a/include/runlink/control/change_history.hpp
+++ b/include/runlink/control/change_history.hpp
@@ -57,8 +57,8 @@
     void drop_old_deletions();
 
     history_options options_;
-    std::map<std::pair<std::uint64_t, std::string>, kv_event>
-        changes_; ///< by revision and key: a transaction changes several keys
+    /// By revision and key, since a transaction may change several keys.
+    std::map<std::pair<std::uint64_t, std::string>, kv_event> changes_;
     std::unordered_map<std::string, std::uint64_t> revisions_;
     std::size_t deletions_ = 0;
     std::uint64_t complete_since_ = 0;
--- a/include/runlink/control/relay.hpp
+++ b/include/runlink/control/relay.hpp
@@ -34,8 +34,8 @@
     peer_entry sender; ///< where the reply is sent; relays write this entry to the store
     std::uint64_t number = 0;
     std::uint64_t store_revision = 0;
-    bool is_joining =
-        false; ///< the sender has no view of the store yet, or only parts of one from the same instance
+    /// The sender has no view of the store yet, or only parts of the receiver's view.
+    bool is_joining = false;
 };
 
 /// A relay's reply. With number 0 it was sent without a request and is no proof.
@@ -58,8 +58,8 @@
 /// Parameters of the relays.
 struct relay_options
 {
-    std::size_t relays_per_domain =
-        2; ///< the relay, which follows the store, and a stand-by, which asks the relay
+    /// The relay, which follows the store, and a stand-by, which asks the relay.
+    std::size_t relays_per_domain = 2;
     /// With fewer instances, all of them follow the store: the few calls saved would not outweigh the delay
     /// with which a follower notices that its relay has lost the store.
     std::size_t min_members = 16;
@@ -237,8 +237,8 @@
     std::optional<time_point> answer_joiners_at_;
     change_history history_;
     std::optional<instance_id> initial_source_;
-    std::map<instance_id, time_point>
-        last_request_at_; ///< last request of each instance of the own failure domain
+    /// Time of the last request of each instance of the own failure domain.
+    std::map<instance_id, time_point> last_request_at_;
     std::optional<time_point> relay_since_;
     struct unanswered_questions
     {
