--- a/include/runlink/core/account_limits.hpp
+++ b/include/runlink/core/account_limits.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Limits of client accounts.
+/// Rate and concurrency limits of client accounts.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 /// Admits requests within this instance's share of each account's limits.
 ///
-/// The share is a fixed part, one over the number of instances that the deployment runs, so that the
-/// shares never sum above the limit, whoever is cut off from whom.
+/// The share is fixed: the limit divided by the number of instances that the deployment runs. The sum of the
+/// shares therefore never exceeds the limit, also during a network partition.
 class account_limits
 {
 public:
     explicit account_limits(std::uint32_t instances);
 
-    void apply(const configuration& it);
-    /// Fails with `account_limit` and the time to come back.
+    void apply(const configuration& configuration);
+    /// Counts a request as in flight. Fails with `account_limit` and the time after which to retry.
     result<void> admit(time_point now, const account_id& account);
     void finished(const account_id& account);
     std::uint32_t in_flight(const account_id& account) const;
--- a/include/runlink/core/clock.hpp
+++ b/include/runlink/core/clock.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The one clock of an instance, which tests pause and advance.
+/// Clock of an instance; tests replace it by one that they advance.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 /// Source of the current time. The daemon passes the runtime's clock, tests a `manual_clock`.
 using clock_source = std::function<time_point()>;
 
-/// A paused clock that moves only when it is told to.
+/// A clock that stands still unless it is advanced explicitly. It never goes back.
 class manual_clock
 {
 public:
--- a/include/runlink/core/failure.hpp
+++ b/include/runlink/core/failure.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The failures of the router. Every failure has a code; the detail says where, never what.
+/// Failures of the router. The code says what failed; the detail names only the place, such as a field.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 namespace runlink::core
 {
 
-/// What went wrong. The name of each code is part of the public interface.
+/// Failure codes. Their names are part of the public interface.
 enum class errc
 {
     malformed_request,
@@ -28,7 +28,7 @@
     session_version_withdrawn,
     session_token_invalid,
     no_endpoint,
-    request_harmful, ///< endpoints ended under requests of the same content
+    request_harmful, ///< endpoint processes ended while they ran requests of the same content
     endpoint_refused,
     endpoint_lost,
     endpoint_answer_invalid,
@@ -62,7 +62,7 @@
 /// The public name of a code, such as `version_withdrawn`.
 std::string_view to_string(errc code);
 
-/// A failure with its place and, where the caller may come back, when.
+/// A failure with its place and, if a retry may succeed, the time after which to retry.
 struct failure
 {
     errc code = errc::internal;
@@ -76,7 +76,7 @@
 template <class T>
 using result = boost::outcome_v2::checked<T, failure>;
 
-/// Whether a request ran, as told to the caller.
+/// Whether a request ran, as reported to the caller.
 enum class run_outcome
 {
     ran,
--- a/include/runlink/core/fair_queue.hpp
+++ b/include/runlink/core/fair_queue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that wait for room at an endpoint.
+/// Queue of requests that wait for a free slot at an endpoint.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +13,33 @@
 namespace runlink::core
 {
 
-/// First in, first out within an account; accounts take turns; quick requests go first.
+/// Serves quick requests first, accounts in round-robin order, and the requests of one account first in,
+/// first out.
 class fair_queue
 {
 public:
     void push(const account_id& account, const request_id& request, bool quick);
-    /// Puts a request that was started and refused back to the head of its account.
+    /// Returns a request that is to be tried again to the head of its account's queue.
     void push_front(const account_id& account, const request_id& request, bool quick);
     void remove(const request_id& request);
-    /// Offers the head of each account in turn until nobody's head is taken.
+    /// Offers the head of each account's queue in turn, until `try_start` rejects the heads of all accounts.
     void offer(const std::function<bool(const request_id&)>& try_start);
     std::size_t size() const;
 
 private:
-    using lane = std::map<account_id, std::deque<request_id>>;
+    using account_queues = std::map<account_id, std::deque<request_id>>;
 
-    static bool offer_round(lane& it, account_id& turn,
-                            const std::function<bool(const request_id&)>& try_start);
+    /// Offers the heads of the accounts after `last_served` in turn until one is started. Returns whether one
+    /// was.
+    static bool offer_until_started(account_queues& queues, account_id& last_served,
+                                    const std::function<bool(const request_id&)>& try_start);
 
-    static std::optional<request_id> take_front(lane& it, const account_id& account);
+    static std::optional<request_id> take_front(account_queues& queues, const account_id& account);
 
-    lane quick_;
-    lane normal_;
-    account_id quick_turn_;
-    account_id normal_turn_;
+    account_queues quick_;
+    account_queues normal_;
+    account_id quick_last_served_;
+    account_id normal_last_served_;
 };
 
 } // namespace runlink::core
--- a/include/runlink/core/ids.hpp
+++ b/include/runlink/core/ids.hpp
@@ -12,7 +12,7 @@
 namespace runlink::core
 {
 
-/// A string that names one kind of thing; two kinds never convert into each other.
+/// A string with a type of its own; values of different `Tag` types do not convert into each other.
 template <class Tag>
 class strong_string
 {
@@ -30,7 +30,7 @@
     std::string value_;
 };
 
-/// A number that names one kind of thing or counts one unit.
+/// A number with a type of its own, for an identifier or a unit.
 template <class Tag>
 class strong_number
 {
@@ -48,14 +48,14 @@
 };
 
 using account_id = strong_string<struct account_tag>;
-/// One life of an endpoint: one that starts again has a new id.
+/// One start of an endpoint; a restarted endpoint has a new id.
 using endpoint_id = strong_string<struct endpoint_tag>;
-/// By what an endpoint is known outside; a later life may have the same name.
+/// External name of an endpoint; it may stay the same over restarts.
 using endpoint_name = strong_string<struct endpoint_name_tag>;
 using failure_domain_id = strong_string<struct failure_domain_tag>;
 using idempotency_key = strong_string<struct idempotency_key_tag>;
 using instance_id = strong_string<struct instance_tag>;
-/// One life of an instance: a restarted instance has a new incarnation.
+/// One start of an instance; a restarted instance has a new incarnation.
 using incarnation_id = strong_string<struct incarnation_tag>;
 using model_id = strong_string<struct model_tag>;
 using pool_id = strong_string<struct pool_tag>;
@@ -67,7 +67,7 @@
 using version_id = strong_string<struct version_tag>;
 
 using attempt_id = strong_number<struct attempt_tag>;
-/// Orders the lives of one endpoint; a later one has a higher number. 0: the endpoint does not tell.
+/// Orders the starts of one endpoint; a later one has a higher number. 0: not reported by the endpoint.
 using endpoint_incarnation = strong_number<struct endpoint_incarnation_tag>;
 using config_revision = strong_number<struct config_revision_tag>;
 using fencing_number = strong_number<struct fencing_number_tag>;
--- a/include/runlink/core/instance.hpp
+++ b/include/runlink/core/instance.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One instance: the decisions of all parts, wired together. It has no I/O of its own.
+/// One instance: connects the components that make the decisions. It does no I/O itself.
 #pragma once
 
 #include <cstdint>
@@ -27,11 +27,11 @@
     member_info self;
     std::uint32_t expected_instances = 1;
     std::vector<std::string> seed_addresses;
-    std::vector<std::string> secrets; ///< the first signs
+    std::vector<std::string> secrets; ///< keys of session tokens and plans; the first one signs
     std::uint64_t random_seed = 1;
     membership_options members;
     ledger_options ledger;
-    double ledger_writes_per_second = 200; ///< of the whole deployment
+    double ledger_writes_per_second = 200; ///< for the whole deployment
     ledger_client_options client;
     router_options router;
     selector_options selector;
@@ -39,21 +39,21 @@
     keeper_options keeper;
 };
 
-/// What an instance asks of its edge.
+/// Callbacks and ports through which an instance does I/O.
 struct instance_edge
 {
     store_port store;
     ledger_codec codec;
     mac_function mac;
     std::function<wall_time()> wall_clock;
-    /// Sends to the peer link at an address; may lose the message.
+    /// Sends a message to the peer link at an address, without a guarantee of delivery.
     std::function<void(const std::string& address, const peer_envelope&)> send;
     router_hooks router;
-    /// A change of state that deserves a log line.
+    /// Reports a change of state to be logged.
     std::function<void(const std::string&)> state_changed;
 };
 
-/// What an instance says of one live member.
+/// State of one live member.
 struct member_status
 {
     member_info info;
@@ -62,28 +62,30 @@
     config_revision revision{};
 };
 
-/// An entry instance. Drive it with `tick` and the events of its parts.
+/// An entry instance, driven by `tick` and by the events of its components.
 class instance
 {
 public:
-    instance(instance_options options, instance_edge edge);
+    instance(instance_options options, instance_edge hooks);
     instance(const instance&) = delete;
     instance& operator=(const instance&) = delete;
 
     void tick(time_point now);
     void on_peer(time_point now, const peer_envelope& it);
 
-    /// A request of an authenticated caller; refused while the instance is not ready.
+    /// Handles a request of an authenticated caller. Refuses it while the instance is not ready.
     void on_request(time_point now, const caller_request& request);
-    /// Starts a planned stop: not ready at once, no new work after the balancer has seen it.
+    /// Starts a graceful stop. The instance is not ready from now on, and rejects new requests after
+    /// `balancer_wait`, the time in which the load balancer notices.
     void begin_stop(time_point now, milliseconds balancer_wait);
-    /// Whether everything under way has ended and every bill is safe.
+    /// Whether all requests have ended and every bill is safe.
     bool is_stopped(time_point now) const;
 
     bool is_ready(time_point now) const;
     bool is_stopping() const { return stopping_; }
 
-    /// News of an endpoint from the platform's list, a load report or the endpoint itself.
+    /// Handles the state of an endpoint, reported by the platform's list, a load report or the endpoint
+    /// itself.
     void on_endpoint_state(time_point now, const endpoint_id& endpoint, endpoint_incarnation incarnation,
                            bool leaving);
     void on_rating(const version_ref& version, bool good) { guard_.rated(version, good); }
@@ -101,11 +103,11 @@
     std::uint64_t ledger_writes() const;
     std::vector<member_status> member_states(time_point now) const;
 
-    /// Makes a plan from an intent on top of the configuration in force.
+    /// Makes a plan that applies an intent to the current configuration.
     result<std::string> plan_intent(std::string_view intent, const std::string& operation_id) const;
     void confirm_plan(time_point now, std::string_view plan,
                       const configuration_keeper::confirm_handler& handler);
-    /// Which version and endpoint a request would get.
+    /// Returns the version that a request would get.
     result<version_ref> explain(time_point now, const caller_request& request);
 
 private:
@@ -126,9 +128,9 @@
     ledger_client_hooks make_client_hooks();
 
     instance_options options_;
-    instance_edge edge_;
+    instance_edge hooks_;
     std::mt19937_64 random_;
-    std::uint64_t batches_ = 0;
+    std::uint64_t batch_count_ = 0;
     time_point now_{};
     membership members_;
     leave_marks leaving_;
@@ -139,11 +141,11 @@
     ledger_client client_;
     configuration_keeper keeper_;
     std::vector<std::unique_ptr<ledger_partition>> partitions_;
-    rate_limiter ledger_rate_{0, 0};
-    std::uint64_t assigned_at_ = 0; ///< change of the members at which partitions were assigned last
+    rate_limiter ledger_write_rate_{0, 0};
+    std::uint64_t assigned_change_count_ = 0; ///< membership change count at the last complete assignment
     std::unique_ptr<request_router> router_;
     time_point next_heartbeat_{};
-    std::uint64_t heartbeats_ = 0;
+    std::uint64_t sent_heartbeat_count_ = 0;
     std::map<version_ref, version_counts> sent_counts_;
     bool stopping_ = false;
     bool was_ready_ = false;
--- a/include/runlink/core/json_reader.hpp
+++ b/include/runlink/core/json_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Strict reading of JSON: collects every fault with its path instead of stopping at the first.
+/// Strict JSON reader that collects all faults with their paths instead of stopping at the first one.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 namespace runlink::core
 {
 
-/// The faults found in one document, each `path: what is wrong`.
+/// Faults found in one document, each in the form `path: what is wrong`.
 class json_faults
 {
 public:
@@ -31,10 +31,10 @@
     std::vector<std::string> lines_;
 };
 
-/// Parses text. Malformed text and repeated member names are faults.
+/// Parses JSON text. Malformed text and duplicate member names are faults; malformed text gives no value.
 std::optional<nlohmann::json> parse_json(std::string_view text, json_faults& faults);
 
-/// Reads one JSON object. The destructor reports the members that nobody asked for.
+/// Reads one JSON object. The destructor reports members that were never read as unknown fields.
 class json_object_reader
 {
 public:
@@ -57,14 +57,14 @@
     std::vector<std::string> optional_strings(const std::string& name);
     std::vector<int> optional_integers(const std::string& name, std::vector<int> fallback, int min, int max);
 
-    /// Calls `read` with each element of an array of objects; a missing member is an empty array.
+    /// Calls `read` for each element of an array of objects. A missing member counts as an empty array.
     void each_object(const std::string& name, const std::function<void(json_object_reader&)>& read);
-    /// Calls `read` with a nested object when it is there.
+    /// Calls `read` with a nested object. Returns false if the member is missing.
     bool object(const std::string& name, const std::function<void(json_object_reader&)>& read);
-    /// Any member as it stands; null when missing.
+    /// Returns a member of any type unchecked; null if it is missing.
     const nlohmann::json* raw(const std::string& name);
 
-    /// Adds a fault at a member of this object.
+    /// Adds a fault for a member of this object.
     void fault(const std::string& name, const std::string& what);
 
 private:
--- a/include/runlink/core/membership.hpp
+++ b/include/runlink/core/membership.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which instances are alive, and which of them owns a ledger partition.
+/// Live instances of the deployment and their ownership of ledger partitions.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,19 @@
 namespace runlink::core
 {
 
-/// Times of the membership.
+/// Timing parameters of the membership.
 struct membership_options
 {
     milliseconds heartbeat_interval{500};
-    milliseconds dead_after{2500};
-    /// A longer gap between two ticks means that this process was paused, not that its peers died.
+    milliseconds dead_after{2500}; ///< without a heartbeat
+    /// After a longer gap between two ticks this process was paused, so silence of its peers in that time
+    /// does not count.
     milliseconds pause_threshold{1000};
 };
 
-/// View of the instances, made from their heartbeats. It decides where to send, never who may write:
-/// two instances may disagree for a while, and the ledger's create-if-absent settles it.
+/// One instance's view of the live instances, based on their heartbeats. It determines where messages are
+/// sent but not who may write: two instances may disagree for a while, and the create-if-absent operation of
+/// the ledger resolves such conflicts.
 class membership
 {
 public:
@@ -33,42 +35,43 @@
     const member_info& self() const { return self_; }
     void set_self_state(bool ready, bool stopping);
 
-    /// Takes a heartbeat in. Returns whether the set of members changed.
+    /// Processes a heartbeat. Returns whether a member joined or changed its state.
     bool on_heartbeat(time_point now, const member_info& sender, const heartbeat& it);
-    /// Drops members that have been silent. Returns those that died.
+    /// Removes and returns members without a heartbeat for longer than `dead_after`.
     std::vector<member_info> tick(time_point now);
 
-    /// An address to send heartbeats to, from the settings or the platform's list.
+    /// Adds an address that heartbeats are sent to, from the settings, the platform's list or a heartbeat.
     void add_address(const std::string& address);
-    /// Every address that heartbeats go to: known members and those never heard of.
+    /// All addresses that heartbeats are sent to, including those that no heartbeat has come from yet.
     std::vector<std::string> addresses() const;
 
     bool is_alive(const incarnation_id& it) const;
     const member_info* find(const incarnation_id& it) const;
-    /// Live members without this instance.
+    /// Live members except this instance.
     std::vector<member_info> peers() const;
+    /// Live members including this instance.
     std::size_t live_count() const { return members_.size() + 1; }
-    /// The member that serves a partition: ready, not stopping, highest rendezvous score.
-    /// Answers are kept until a member comes, goes or changes its state.
+    /// The member that serves a partition: the one with the highest rendezvous score among those that are
+    /// ready and not stopping. Results are cached until a member joins, leaves or changes its state.
     std::optional<member_info> owner_of(partition_id partition) const;
-    /// Live peers to hold copies, in failure domains as different as there are.
+    /// Up to `n` live peers to hold copies: first one in each other failure domain, then any.
     std::vector<member_info> copy_holders(std::size_t n) const;
 
-    /// Grows whenever a member comes, goes or changes its state.
-    std::uint64_t change_count() const { return changes_; }
+    /// Increases whenever a member joins, leaves or changes its state.
+    std::uint64_t change_count() const { return change_count_; }
 
-    /// The last heartbeat of a live member.
+    /// The last heartbeat of a live peer; null for others.
     const heartbeat* last_heartbeat(const incarnation_id& it) const;
 
 private:
     struct member
     {
         member_info info;
-        heartbeat last;
-        time_point seen{};
+        heartbeat last_heartbeat;
+        time_point last_seen{};
     };
 
-    void changed();
+    void record_change();
     std::optional<member_info> find_owner(partition_id partition) const;
 
     member_info self_;
@@ -76,11 +79,11 @@
     bool self_ready_ = false;
     bool self_stopping_ = false;
     std::map<incarnation_id, member> members_;
-    std::set<incarnation_id> replaced_;
+    std::set<incarnation_id> replaced_incarnations_; ///< restarted since; their late heartbeats are ignored
     std::set<std::string> addresses_;
-    std::uint64_t changes_ = 1;
+    std::uint64_t change_count_ = 1;
     std::optional<time_point> last_tick_;
-    mutable std::map<partition_id, std::optional<member_info>> owners_; ///< found since the last change
+    mutable std::map<partition_id, std::optional<member_info>> owner_cache_;
 };
 
 } // namespace runlink::core
--- a/include/runlink/core/peer_messages.hpp
+++ b/include/runlink/core/peer_messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The messages between instances.
+/// Messages between instances.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace runlink::core
 {
 
-/// Who an instance is and where its peers reach it.
+/// Identity of an instance and the address at which its peers reach it.
 struct member_info
 {
     instance_id id;
@@ -23,10 +23,10 @@
     friend bool operator==(const member_info&, const member_info&) = default;
 };
 
-/// Start number of an endpoint process; a larger one is a newer process.
+/// Number of a start of an endpoint process; a newer process has a higher number.
 using endpoint_incarnation = strong_number<struct endpoint_incarnation_tag>;
 
-/// An endpoint process that is leaving. The mark is never taken back; a newer process ends it.
+/// Marks an endpoint process as leaving. The mark is never withdrawn; it ends when a newer process is seen.
 struct leave_mark
 {
     endpoint_id endpoint;
@@ -35,15 +35,15 @@
     friend auto operator<=>(const leave_mark&, const leave_mark&) = default;
 };
 
-/// What one instance has seen of a version since it started.
+/// Running totals of one instance for a version, since the instance started.
 struct version_counts
 {
     version_ref version;
-    std::uint64_t started = 0;
-    std::uint64_t good = 0;   ///< answers rated good
-    std::uint64_t bad = 0;    ///< answers rated bad
-    std::uint64_t failed = 0; ///< attempts that ended without an answer
-    bool stopped = false;     ///< the sender's guard has stopped the version
+    std::uint64_t started = 0; ///< attempts dispatched to the version
+    std::uint64_t good = 0;    ///< answers rated good
+    std::uint64_t bad = 0;     ///< answers rated bad
+    std::uint64_t failed = 0;  ///< attempts with an error or a malformed answer
+    bool stopped = false;      ///< the sender's guard has stopped the version
 
     friend bool operator==(const version_counts&, const version_counts&) = default;
 };
@@ -55,8 +55,8 @@
     bool stopping = false;
     config_revision revision{};
     std::vector<leave_mark> leaving;
-    std::vector<version_counts> versions; ///< those that changed, and now and then all
-    std::vector<member_info> members;     ///< now and then the live members that the sender knows
+    std::vector<version_counts> versions; ///< changed ones; periodically all
+    std::vector<member_info> members;     ///< periodically the live members that the sender knows
 
     friend bool operator==(const heartbeat&, const heartbeat&) = default;
 };
@@ -67,7 +67,7 @@
     friend bool operator==(const configuration_request&, const configuration_request&) = default;
 };
 
-/// A whole configuration, as stored.
+/// A complete configuration, as stored.
 struct configuration_document
 {
     std::string json;
@@ -102,7 +102,7 @@
     friend bool operator==(const copy_request&, const copy_request&) = default;
 };
 
-/// The peer holds the copy.
+/// Confirms that the peer holds the copy.
 struct copy_response
 {
     bill_id bill;
@@ -111,7 +111,7 @@
     friend bool operator==(const copy_response&, const copy_response&) = default;
 };
 
-/// The settlement is in the ledger; the copy may go.
+/// Reports that the settlement is in the ledger; the peer may delete its copy.
 struct copy_release
 {
     bill_id bill;
@@ -123,7 +123,7 @@
 using peer_message = std::variant<heartbeat, configuration_request, configuration_document, ledger_request,
                                   ledger_response, copy_request, copy_response, copy_release>;
 
-/// A message with its sender. Messages of another deployment are dropped.
+/// A message with its sender. Receivers drop messages of other deployments.
 struct peer_envelope
 {
     std::string deployment;
--- a/include/runlink/core/rate_limiter.hpp
+++ b/include/runlink/core/rate_limiter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Token bucket.
+/// Token bucket rate limiter.
 #pragma once
 
 #include "runlink/core/units.hpp"
@@ -7,17 +7,17 @@
 namespace runlink::core
 {
 
-/// Admits `rate` events a second on average and `burst` at once.
+/// Admits `rate` events per second on average, and up to `burst` events at once.
 class rate_limiter
 {
 public:
     rate_limiter(double rate, double burst) : rate_{rate}, burst_{burst}, tokens_{burst} {}
 
-    /// Changes the rate and the burst, keeping what was saved up within the new burst.
+    /// Changes the rate and the burst. Saved tokens are kept, up to the new burst.
     void reconfigure(double rate, double burst);
-    /// Takes one token if there is one.
+    /// Takes a token if one is available.
     bool try_take(time_point now);
-    /// Time until a token is there; zero when there is one now.
+    /// Time until a token is available; zero if one is available now, the maximum if the rate is 0.
     duration time_until_token(time_point now);
 
 private:
--- a/include/runlink/core/request.hpp
+++ b/include/runlink/core/request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's request and what the caller is told, free of any transport.
+/// Transport-independent types of a caller's request and its answer.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,26 @@
 /// The value of the session header that starts a session.
 inline constexpr const char* new_session = "new";
 
-/// A request after its caller was authenticated.
+/// A request of an authenticated caller.
 struct caller_request
 {
     request_id id;
     account_id account;
     request_class cls{"standard"};
-    std::optional<service_id> service; ///< a plain service, or else
+    std::optional<service_id> service; ///< set for a plain service; otherwise `model` is set
     model_id model;
-    std::optional<version_id> version; ///< asked for by name
+    std::optional<version_id> version; ///< set if the caller asks for a specific version
     std::optional<idempotency_key> key;
-    std::string session; ///< empty, `new` or a token
-    bool repeatable = true;
+    std::string session;    ///< empty, `new` or a session token
+    bool repeatable = true; ///< may run more than once
     bool stream = false;
     bool quick = false;
-    milliseconds deadline{60000}; ///< from its arrival
-    std::string fingerprint;      ///< digest of target and body
-    std::uint64_t prefix_hash = 0;
+    milliseconds deadline{60000};  ///< time from arrival
+    std::string fingerprint;       ///< digest of target and body
+    std::uint64_t prefix_hash = 0; ///< hash of the prompt's prefix; 0: none
 };
 
-/// The beginning of an answer.
+/// Head of an answer to the caller.
 struct answer_head
 {
     int status = 200;
@@ -43,24 +43,24 @@
     version_ref version;       ///< empty for a plain service
     std::string session_token; ///< empty outside a session
     run_outcome outcome = run_outcome::ran;
-    bool replayed = false; ///< the kept answer of an earlier request with the same key
+    bool replayed = false; ///< stored answer of an earlier request with the same idempotency key
 };
 
-/// The final word on a request that gets no whole answer.
+/// Final result of a request that gets no complete answer.
 struct refusal
 {
     failure why;
     run_outcome outcome = run_outcome::not_run;
 };
 
-/// Tokens that an engine counted.
+/// Token counts as reported by the inference engine.
 struct token_usage
 {
     token_count prompt{};
     token_count answer{};
 };
 
-/// The end of an endpoint's answer. The tail is held back until the bill is safe.
+/// End of an endpoint's answer. `tail` is the last part of the body, held back until the bill is safe.
 struct endpoint_answer
 {
     int status = 200;
@@ -73,7 +73,7 @@
 struct attempt_loss
 {
     failure why;
-    bool may_have_run = true; ///< false only where the endpoint never had the whole request
+    bool may_have_run = true; ///< false only if the endpoint never received the complete request
 };
 
 } // namespace runlink::core
--- a/include/runlink/core/request_router.hpp
+++ b/include/runlink/core/request_router.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The life of each request from its arrival to its final word.
+/// Request lifecycle, from arrival to the complete answer or the refusal.
 #pragma once
 
 #include <cstdint>
@@ -23,28 +23,29 @@
 namespace runlink::core
 {
 
-/// Bounds of the router.
+/// Limits and defaults of the router.
 struct router_options
 {
-    std::uint32_t max_tries = 3;    ///< attempts that may have run, for a repeatable request
-    std::uint32_t max_refusals = 8; ///< attempts that endpoints refused
-    std::size_t max_queued = 1000;  ///< per model or service
-    std::size_t kept_answer_bytes = 16 * 1024;
-    milliseconds retry_after{1000}; ///< told where nothing better is known
+    std::uint32_t max_attempts = 3; ///< attempts per repeatable request, except those that did not run
+    std::uint32_t max_refusals = 8; ///< attempts per request that endpoints refuse
+    std::size_t max_queued = 1000;  ///< waiting requests per model or service
+    /// Largest answer that is stored for a repeated request with the same idempotency key.
+    std::size_t max_kept_answer_bytes = 16 * 1024;
+    milliseconds default_retry_after{1000}; ///< hint to the caller where no estimate exists
 };
 
-/// Orders the edge to send a request to an endpoint.
+/// Instruction to send a request to an endpoint.
 struct attempt_start
 {
     attempt_id attempt{};
     request_id request;
     endpoint_settings endpoint;
-    version_ref version; ///< empty for a plain service
-    milliseconds time_left{};
+    version_ref version;      ///< empty for a plain service
+    milliseconds time_left{}; ///< until the request's deadline
 };
 
-/// What the router tells the edge. For each request: `begin`, any `forward`, `end`; or one `refuse` at any
-/// point.
+/// Callbacks of the router. For each request: `begin`, any number of `forward` calls and `end`; or one
+/// `refuse` at any point.
 struct router_hooks
 {
     std::function<void(const attempt_start&)> dispatch;
@@ -53,12 +54,12 @@
     std::function<void(const request_id&, std::string)> forward;
     std::function<void(const request_id&, std::string tail)> end;
     std::function<void(const request_id&, const refusal&)> refuse;
-    /// An answer that may be rated.
+    /// Reports a successful answer of a model version, which may be rated.
     std::function<void(const request_id&, const version_ref&, const std::string& answer)> answered;
     std::function<wall_time()> wall_clock;
 };
 
-/// Parts that the router uses and does not own.
+/// Components that the router uses but does not own.
 struct router_parts
 {
     ledger_client& ledger;
@@ -68,7 +69,7 @@
     const session_tokens& sessions;
 };
 
-/// Counters of the router, by what happened.
+/// Event counters of the router.
 struct router_counters
 {
     std::uint64_t admitted = 0;
@@ -80,17 +81,17 @@
     std::uint64_t attempts = 0;
     std::uint64_t retries = 0;
     std::uint64_t endpoint_refusals = 0;
-    std::uint64_t late_events = 0; ///< of attempts that no longer count
+    std::uint64_t late_events = 0; ///< events of attempts that have already ended
     std::uint64_t bills_copied = 0;
     std::uint64_t bills_at_risk = 0;
 };
 
-/// Takes requests and what becomes of their attempts, and decides.
+/// Admits, queues, dispatches and retries requests, and records their outcomes in the ledger.
 ///
-/// An attempt is dispatched, and then answered, refused (the endpoint says it did not start) or lost.
-/// `not_run` is told only while no attempt may have run. A request that is not repeatable has one attempt
-/// that may have run at most. Only the attempt that began the answer may go on with it; what others send is
-/// dropped. The last bytes of an answer are released when its bill is safe.
+/// An attempt is dispatched and then answered, refused (the endpoint reports that it did not start) or lost.
+/// The outcome `not_run` is reported only if no attempt may have run. A request that is not repeatable has at
+/// most one attempt that may have run. Only the attempt that began the answer may continue it; data from
+/// other attempts is dropped. The last bytes of an answer are held back until its bill is safe.
 class request_router
 {
 public:
@@ -99,7 +100,7 @@
     request_router& operator=(const request_router&) = delete;
 
     void apply(configuration_ptr configuration);
-    /// No new request is admitted; those under way go on.
+    /// Rejects new requests from now on; admitted requests continue.
     void stop_admission() { stopping_ = true; }
 
     void on_request(time_point now, const caller_request& request);
@@ -112,7 +113,7 @@
     void tick(time_point now);
 
     std::size_t active_count() const { return requests_.size(); }
-    /// Requests whose caller still waits.
+    /// Requests whose caller is still waiting.
     std::size_t waiting_callers() const;
     std::size_t queued_count() const;
     const router_counters& counters() const { return counters_; }
@@ -125,27 +126,27 @@
         running,
         settling,
     };
-    struct active
+    struct active_request
     {
         caller_request request;
         time_point arrived{};
-        phase at = phase::claiming;
-        bool claimed = false;
+        phase current_phase = phase::claiming;
+        bool key_claimed = false;
         bool caller_gone = false;
-        bool begun = false;
+        bool answer_begun = false;
         bool may_have_run = false;
-        std::optional<version_ref> pin;
+        std::optional<version_ref> pinned_version;
         session_id session;
         version_ref version;
         endpoint_id endpoint;
         std::set<attempt_id> attempts;
-        std::set<endpoint_id> tried;
-        std::uint32_t tries = 0;
+        std::set<endpoint_id> failed_endpoints;
+        std::uint32_t attempt_count = 0; ///< except attempts that are known not to have run
         std::uint32_t refusals = 0;
         token_usage usage;
         micro_cost cost{};
-        std::string kept; ///< what was forwarded, while it is small enough to be kept
-        bool keep = true;
+        std::string kept_answer; ///< the forwarded bytes, while they are within the size limit
+        bool can_keep_answer = true;
         int status = 0;
         std::string content_type;
     };
@@ -158,43 +159,43 @@
         bool first_byte = false;
     };
 
-    result<active> check(time_point now, const caller_request& request) const;
-    result<void> check_target(const account_settings& account, active& it) const;
-    result<void> check_session(const account_settings& account, active& it) const;
-    result<void> check_room(time_point now, const active& it) const;
+    result<active_request> admit_request(time_point now, const caller_request& request) const;
+    result<void> check_target(const account_settings& account, active_request& it) const;
+    result<void> check_session(const account_settings& account, active_request& it) const;
+    result<void> check_capacity(time_point now, const active_request& it) const;
     void claim(time_point now, const request_id& id);
     void on_claimed(const request_id& id, const result<ledger_reply>& reply);
-    void replay(active& it, const ledger_entry& record);
+    void replay(active_request& it, const ledger_entry& record);
 
-    std::string queue_name(const active& it) const;
+    std::string queue_name(const active_request& it) const;
     void enqueue(const request_id& id, bool front);
-    void pump(time_point now);
+    void dispatch_queued(time_point now);
     bool try_start(time_point now, const request_id& id);
-    /// Fails where the configuration lacks by now what the request asks for.
-    result<void> take_target(time_point now, active& it) const;
-    result<version_ref> version_for(time_point now, const active& it) const;
-    endpoint_demand demand_of(const active& it) const;
-    void dispatch(time_point now, active& it, const endpoint_settings& endpoint);
-
-    std::optional<attempt> take_attempt(time_point now, attempt_id id, attempt_result result);
-    void retry_or_end(time_point now, active& it, const attempt_loss& loss);
-    bool may_retry(time_point now, const active& it);
-    void begin(active& it, int status, const std::string& content_type);
-    void settle(time_point now, active& it, run_outcome outcome, std::string tail,
+    /// Resolves the target again while the request waits. Fails if the current configuration lacks it.
+    result<void> refresh_target(time_point now, active_request& it) const;
+    result<version_ref> select_version(time_point now, const active_request& it) const;
+    endpoint_demand demand_of(const active_request& it) const;
+    void dispatch(time_point now, active_request& it, const endpoint_settings& endpoint);
+
+    std::optional<attempt> end_attempt(time_point now, attempt_id id, attempt_result result);
+    void retry_or_end(time_point now, active_request& it, const attempt_loss& loss);
+    bool may_retry(time_point now, const active_request& it);
+    void begin(active_request& it, int status, const std::string& content_type);
+    void settle(time_point now, active_request& it, run_outcome outcome, std::string tail,
                 std::optional<refusal> why);
-    ledger_entry entry_of(const active& it) const;
+    ledger_entry ledger_entry_of(const active_request& it) const;
     void finish(const request_id& id, bill_safety safety, std::string tail,
                 const std::optional<refusal>& why);
-    void refuse_not_run(time_point now, active& it, failure why);
-    void end_unknown(time_point now, active& it, failure why);
-    void expire(time_point now, active& it);
-    /// Ends what nobody waits for, unless its answer may be asked for again.
-    void give_up(time_point now, active& it);
-    /// The final word to a caller that still listens.
-    void tell(active& it, const refusal& why);
-    void forget(const request_id& id);
-    void leave_queue(const active& it);
-    void charge(active& it, const attempt& from, const token_usage& usage) const;
+    void refuse_not_run(time_point now, active_request& it, failure why);
+    void end_unknown(time_point now, active_request& it, failure why);
+    void expire(time_point now, active_request& it);
+    /// Ends a request whose caller has left, unless the caller can ask for the answer again.
+    void abandon(time_point now, active_request& it);
+    /// Reports the refusal to the caller if it is still connected.
+    void report_refusal(active_request& it, const refusal& why);
+    void remove_request(const request_id& id);
+    void remove_from_queue(const active_request& it);
+    void charge(active_request& it, const attempt& from, const token_usage& usage) const;
     void count_refusal(const refusal& it);
 
     router_options options_;
@@ -203,15 +204,15 @@
     router_parts parts_;
     configuration_ptr configuration_;
     bool stopping_ = false;
-    bool pumping_ = false;
+    bool dispatching_queued_ = false;
     std::uint64_t next_attempt_ = 1;
-    std::map<request_id, active> requests_;
+    std::map<request_id, active_request> requests_;
     std::map<attempt_id, attempt> attempts_;
     std::map<std::string, fair_queue> queues_;
-    retry_budget retries_;
+    retry_budget retry_budget_;
     router_counters counters_;
     time_point now_{};
-    double mean_service_ms_ = 0;
+    double mean_service_ms_ = 0; ///< moving average of the time that an answered attempt takes
 };
 
 } // namespace runlink::core
--- a/include/runlink/core/retry_budget.hpp
+++ b/include/runlink/core/retry_budget.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bound on the work that retries add.
+/// Limit on the load that retries add.
 #pragma once
 
 #include <algorithm>
@@ -7,28 +7,29 @@
 namespace runlink::core
 {
 
-/// Each first attempt pays a part of a retry in; each retry takes a whole one out.
+/// Each first attempt adds `ratio` to the balance, up to `burst`; each retry takes 1 from it.
 class retry_budget
 {
 public:
-    explicit retry_budget(double ratio = 0.1, double burst = 10) : ratio_{ratio}, burst_{burst}, saved_{burst}
+    explicit retry_budget(double ratio = 0.1, double burst = 10)
+        : ratio_{ratio}, burst_{burst}, balance_{burst}
     {
     }
 
-    void on_first_attempt() { saved_ = std::min(burst_, saved_ + ratio_); }
+    void on_first_attempt() { balance_ = std::min(burst_, balance_ + ratio_); }
 
     bool try_take()
     {
-        if (saved_ < 1)
+        if (balance_ < 1)
             return false;
-        saved_ -= 1;
+        balance_ -= 1;
         return true;
     }
 
 private:
     double ratio_;
     double burst_;
-    double saved_;
+    double balance_;
 };
 
 } // namespace runlink::core
--- a/include/runlink/core/session_token.hpp
+++ b/include/runlink/core/session_token.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Session tokens: the version of a session, signed, so that no instance has to remember it.
+/// Session tokens: they hold the signed version of a session, so that instances need not store it.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 namespace runlink::core
 {
 
-/// Keyed message authentication code: (secret, text) to hexadecimal digits.
+/// Computes a message authentication code of a text, as hexadecimal digits.
 using mac_function = std::function<std::string(std::string_view secret, std::string_view text)>;
 
-/// What a token says.
+/// Contents of a session token.
 struct session_pin
 {
     account_id account;
@@ -26,7 +26,8 @@
     friend bool operator==(const session_pin&, const session_pin&) = default;
 };
 
-/// Signs and checks session tokens. The first secret signs, all of them verify.
+/// Signs and verifies session tokens. The first secret signs; tokens signed with any of the secrets are
+/// valid.
 class session_tokens
 {
 public:
@@ -41,7 +42,7 @@
     mac_function mac_;
 };
 
-/// Compares in time that does not depend on where the texts differ.
+/// Compares two strings in time that does not depend on the position of the first difference.
 bool equal_in_constant_time(std::string_view a, std::string_view b);
 
 } // namespace runlink::core
--- a/include/runlink/core/units.hpp
+++ b/include/runlink/core/units.hpp
@@ -12,8 +12,8 @@
 
 using duration = std::chrono::microseconds;
 
-/// The clock of the runtime. It never goes back, and it goes on while the machine is suspended, as the steady
-/// clock of Linux does not: beliefs of before a suspension would look young by that one.
+/// Monotonic clock that also counts the time in which the machine is suspended. The steady clock of Linux
+/// does not, so with it information from before a suspension would look recent.
 struct runtime_clock
 {
     using duration = core::duration;
@@ -25,7 +25,7 @@
     static time_point now() noexcept;
 };
 
-/// Time of one instance; instances never compare theirs.
+/// Time on the clock of one instance; times of different instances are not comparable.
 using time_point = runtime_clock::time_point;
 
 using std::chrono::milliseconds;
--- a/include/runlink/core/version_choice.hpp
+++ b/include/runlink/core/version_choice.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which version serves a request.
+/// Choice of the model version that serves a request.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,16 @@
 namespace runlink::core
 {
 
-/// Whether new work may start on a version besides what the configuration says (the guard's word).
+/// Whether the version guard lets new requests start on a version. The configuration is checked separately.
 using version_filter = std::function<bool(const version_settings&, const version_ref&)>;
 
-/// Chooses a version for a request without a pin: by its id over the versions in force, weighted.
-/// Fails with `unknown_model`, `not_allowed` or `version_withdrawn`.
+/// Chooses a version for a request that names none and has no pinned one, by weighted rendezvous hashing of
+/// the request id over the versions that take new requests. Fails with `unknown_model`, `not_allowed` or
+/// `version_withdrawn`.
 result<version_ref> choose_version(const configuration& it, const account_settings& account,
                                    const caller_request& request, const version_filter& filter);
 
-/// Checks that a version asked for by name, or pinned by a session, may serve the request.
+/// Checks that a version named by the caller, or pinned by a session, may serve the request.
 /// Fails with `unknown_version`, `not_allowed`, `version_withdrawn` or `session_version_withdrawn`.
 result<version_ref> check_version(const configuration& it, const account_settings& account,
                                   const version_ref& version, bool pinned);
--- a/include/runlink/core/version_guard.hpp
+++ b/include/runlink/core/version_guard.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Limits how many answers a version may give before they are rated, and stops bad versions.
+/// Limits the unrated answers of versions that are rolled out, and stops bad versions.
 #pragma once
 
 #include <array>
@@ -19,43 +19,45 @@
 /// Parameters of the guard.
 struct guard_options
 {
-    double first_window = 4; ///< unrated answers that a young version may have, in the whole deployment
-    double widest_window = 512;
-    double growth_per_good = 0.5; ///< window added by each good rating
-    double shrink_on_bad = 0.8;   ///< window left after a bad rating
-    double accepted_bad = 0.05;   ///< rate of bad answers of a sound version
-    /// Rates of bad answers that the test looks for, above the accepted one.
-    std::array<double, 4> looked_for{0.08, 0.15, 0.35, 0.9};
-    double stop_threshold = 12.0; ///< log-likelihood ratio at which a version is stopped
-    seconds unrated_expires{600}; ///< an answer that nobody rated leaves the window then
+    double initial_window = 4; ///< initial limit of unrated answers of a version, for the whole deployment
+    double max_window = 512;
+    double growth_per_good = 0.5;     ///< added to the window by each good rating
+    double shrink_on_bad = 0.8;       ///< factor on the window for each bad rating
+    double accepted_bad_share = 0.05; ///< share of bad answers that an acceptable version has
+    /// Shares of bad answers to detect; each is above the accepted one.
+    std::array<double, 4> detected_bad_shares{0.08, 0.15, 0.35, 0.9};
+    double stop_threshold = 12.0; ///< cumulative log-likelihood ratio at which a version is stopped
+    seconds unrated_timeout{600}; ///< after this time an unrated answer no longer counts
 };
 
-/// Detects a change of the rate of bad answers at any time in a version's life: cumulative sums of the
-/// log-likelihood ratio, one for each degree of badness.
-class badness_test
+/// Detects an increase of the share of bad answers at any time (CUSUM): one cumulative sum of log-likelihood
+/// ratios for each share to detect.
+class bad_share_detector
 {
 public:
-    explicit badness_test(const guard_options& options) : options_{&options} {}
+    explicit bad_share_detector(const guard_options& options) : options_{&options} {}
 
     void add(std::uint64_t good, std::uint64_t bad);
     bool is_bad() const;
-    double highest() const;
+    double highest_sum() const;
 
 private:
     const guard_options* options_;
     std::array<double, 4> sums_{};
 };
 
-/// The guard of one instance. It adds up what all instances report, and its share of a young version's
-/// window is the window divided by the live instances. Stopping only ever denies, at once and locally.
+/// The version guard of one instance. It adds up the counts of all instances. Its share of the window of a
+/// version that is rolled out is the window divided by the number of live instances. Stopping a version takes
+/// effect locally at once and only rejects requests.
 class version_guard
 {
 public:
     version_guard(guard_options options, std::function<std::size_t()> live_instances);
 
-    /// Whether a version may be stopped; one that may not is only reported.
+    /// Whether a bad version may be stopped; otherwise it is only reported.
     std::function<bool(const version_ref&)> may_stop = [](const version_ref&) { return true; };
-    /// Called once for each version that this instance's guard finds bad.
+    /// Called when a version is found bad, here or by a peer, and again if it is stopped after it was only
+    /// reported.
     std::function<void(const version_ref&, bool stopped)> on_bad;
 
     /// Whether a new session or request may start on the version.
@@ -63,33 +65,35 @@
     bool is_stopped(const version_ref& version) const;
 
     void started(time_point now, const version_ref& version);
-    /// An answer was rated. `failed` ratings count as bad.
+    /// Records a rating of an answer.
     void rated(const version_ref& version, bool good);
-    /// The version gave an error or a malformed answer. An endpoint that is lost says nothing of its version.
+    /// Records an error or a malformed answer of the version, which counts as a bad rating. The loss of an
+    /// endpoint is not evidence against its version.
     void failed(const version_ref& version);
 
-    /// Own counts, for the heartbeat.
+    /// Counts of this instance, for the heartbeat.
     std::vector<version_counts> counts() const;
-    /// Counts of a peer; only what is new since its last heartbeat is added.
+    /// Adds the counts of a peer that are new since its last heartbeat.
     void on_peer(const incarnation_id& peer, const std::vector<version_counts>& counts);
-    /// An operator has looked at a stopped version and lets it go on.
+    /// Lifts the stop of a version and forgets its counts, so that an operator can let it run again.
     void clear(const version_ref& version);
 
+    /// Current limit of unrated answers in the whole deployment.
     double window(const version_ref& version) const;
 
 private:
     struct record
     {
         version_counts own;
-        std::deque<time_point> unrated; ///< own answers, oldest first
+        std::deque<time_point> unrated; ///< start times of unrated answers of this instance, oldest first
         double window = 0;
-        badness_test test;
+        bad_share_detector detector;
         bool stopped = false;
         bool reported = false;
     };
 
-    record& at(const version_ref& version);
-    void evidence(const version_ref& version, record& it, std::uint64_t good, std::uint64_t bad);
+    record& record_of(const version_ref& version);
+    void add_ratings(const version_ref& version, record& it, std::uint64_t good, std::uint64_t bad);
     void stop(const version_ref& version, record& it);
 
     guard_options options_;
--- a/src/runlink/core/account_limits.cpp
+++ b/src/runlink/core/account_limits.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-/// A burst may use up what this much time lets in.
+/// A burst may be as large as the number of requests admitted in this time.
 constexpr double burst_seconds = 1.0;
-constexpr milliseconds in_flight_retry{200};
+constexpr milliseconds in_flight_retry_after{200};
 
 } // namespace
 
@@ -38,7 +38,7 @@
 {
     auto& it = usage_[account];
     if (it.max_in_flight > 0 && it.in_flight >= it.max_in_flight)
-        return failure{errc::account_limit, "max_in_flight", in_flight_retry};
+        return failure{errc::account_limit, "max_in_flight", in_flight_retry_after};
     if (it.rate_limited && !it.rate.try_take(now))
         return failure{errc::account_limit, "requests_per_second",
                        std::chrono::ceil<milliseconds>(it.rate.time_until_token(now))};
--- a/src/runlink/core/endpoint_selector.cpp
+++ b/src/runlink/core/endpoint_selector.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr double first_byte_weight = 0.2;
-constexpr std::uint32_t longest_doubling = 8;
+constexpr double first_byte_average_weight = 0.2;
+constexpr std::uint32_t max_doublings = 8;
 
 } // namespace
 
@@ -37,7 +37,7 @@
 }
 
 template <class Visit>
-void endpoint_selector::each_endpoint(const endpoint_demand& demand, Visit visit) const
+void endpoint_selector::for_each_endpoint(const endpoint_demand& demand, Visit visit) const
 {
     if (!configuration_)
         return;
@@ -57,28 +57,28 @@
     return it != nullptr && now < it->ejected_until;
 }
 
-bool endpoint_selector::usable(time_point now, const endpoint_settings& it,
-                               const endpoint_demand& demand) const
+bool endpoint_selector::is_usable(time_point now, const endpoint_settings& it,
+                                  const endpoint_demand& demand) const
 {
     if (it.leaving || is_leaving_(it.id) || is_ejected(now, it.id))
         return false;
     return demand.excluded == nullptr || !demand.excluded->contains(it.id);
 }
 
-bool endpoint_selector::has_room(time_point now, const endpoint_settings& it, bool quick) const
+bool endpoint_selector::has_free_slot(time_point now, const endpoint_settings& it, bool quick) const
 {
     const auto* load = find(it.id);
     if (load == nullptr)
         return true;
     if (now < load->paused_until)
         return false;
-    // An endpoint that was put aside is tried with one request at a time until it has answered.
+    // After its ejection an endpoint gets one request at a time until it answers one.
     if (load->ejections > 0 && load->failures >= options_.failures_to_eject)
         return load->in_flight == 0;
-    return load->in_flight < room(it, quick);
+    return load->in_flight < concurrency_limit(it, quick);
 }
 
-std::uint32_t endpoint_selector::room(const endpoint_settings& it, bool quick) const
+std::uint32_t endpoint_selector::concurrency_limit(const endpoint_settings& it, bool quick) const
 {
     const double share = it.capacity * options_.oversubscription / options_.instances;
     const auto shared = std::clamp(static_cast<std::uint32_t>(std::ceil(share)), 1U, it.capacity);
@@ -92,12 +92,12 @@
                                                                     const endpoint_demand& demand) const
 {
     std::vector<const endpoint_settings*> out;
-    each_endpoint(demand,
-                  [&](const endpoint_settings& it)
-                  {
-                      if (usable(now, it, demand) && has_room(now, it, demand.quick))
-                          out.push_back(&it);
-                  });
+    for_each_endpoint(demand,
+                      [&](const endpoint_settings& it)
+                      {
+                          if (is_usable(now, it, demand) && has_free_slot(now, it, demand.quick))
+                              out.push_back(&it);
+                      });
     return out;
 }
 
@@ -109,12 +109,12 @@
 std::uint32_t endpoint_selector::capacity(time_point now, const endpoint_demand& demand) const
 {
     std::uint32_t out = 0;
-    each_endpoint(demand,
-                  [&](const endpoint_settings& it)
-                  {
-                      if (usable(now, it, demand))
-                          out += it.capacity;
-                  });
+    for_each_endpoint(demand,
+                      [&](const endpoint_settings& it)
+                      {
+                          if (is_usable(now, it, demand))
+                              out += it.capacity;
+                      });
     return out;
 }
 
@@ -146,21 +146,22 @@
     return (relative_load(it) + 1.0 / it.capacity) * penalty;
 }
 
-const endpoint_settings* endpoint_selector::by_prefix(const endpoint_demand& demand,
-                                                      const std::vector<const endpoint_settings*>& all) const
+const endpoint_settings*
+endpoint_selector::pick_by_prefix(const endpoint_demand& demand,
+                                  const std::vector<const endpoint_settings*>& all) const
 {
     if (demand.prefix_hash == 0)
         return nullptr;
     const auto key = std::to_string(demand.prefix_hash);
     const auto score = [&](const auto* it) { return rendezvous_score(key, it->id.str()); };
-    const auto* home = *std::max_element(all.begin(), all.end(),
-                                         [&](const auto* a, const auto* b) { return score(a) < score(b); });
+    const auto* preferred = *std::max_element(
+        all.begin(), all.end(), [&](const auto* a, const auto* b) { return score(a) < score(b); });
     double sum = 0;
     for (const auto* it : all)
         sum += relative_load(*it);
     const double mean = sum / static_cast<double>(all.size());
-    const double bound = std::max(mean * options_.affinity_bound, 1.0 / home->capacity);
-    return relative_load(*home) <= bound ? home : nullptr;
+    const double bound = std::max(mean * options_.affinity_bound, 1.0 / preferred->capacity);
+    return relative_load(*preferred) <= bound ? preferred : nullptr;
 }
 
 const endpoint_settings* endpoint_selector::pick(time_point now, const endpoint_demand& demand)
@@ -170,12 +171,12 @@
         return nullptr;
     if (all.size() == 1)
         return all.front();
-    if (const auto* home = by_prefix(demand, all))
-        return home;
-    return least_cost(all);
+    if (const auto* preferred = pick_by_prefix(demand, all))
+        return preferred;
+    return pick_least_cost(all);
 }
 
-const endpoint_settings* endpoint_selector::least_cost(const std::vector<const endpoint_settings*>& all)
+const endpoint_settings* endpoint_selector::pick_least_cost(const std::vector<const endpoint_settings*>& all)
 {
     const double median = median_first_byte(all);
     const endpoint_settings* best = nullptr;
@@ -187,7 +188,8 @@
         if (best != nullptr && c > best_cost)
             continue;
         ties = best != nullptr && c == best_cost ? ties + 1 : 1;
-        // Among equals each is as likely: otherwise all instances would load the same one.
+        // Chooses among equal costs with equal probability; otherwise all instances would choose the same
+        // endpoint.
         if (random_() % ties == 0)
             best = it;
         best_cost = c;
@@ -205,7 +207,7 @@
     auto& it = loads_[id];
     const double ms = static_cast<double>(after.count()) / 1000.0;
     it.first_byte_ms =
-        it.first_byte_ms <= 0 ? ms : it.first_byte_ms + first_byte_weight * (ms - it.first_byte_ms);
+        it.first_byte_ms <= 0 ? ms : it.first_byte_ms + first_byte_average_weight * (ms - it.first_byte_ms);
 }
 
 void endpoint_selector::finished(time_point now, const endpoint_id& id, attempt_result result)
@@ -222,7 +224,7 @@
         it.paused_until = now + options_.refusal_pause;
     if (result != attempt_result::lost || ++it.failures < options_.failures_to_eject)
         return;
-    const auto doubling = std::min(it.ejections++, longest_doubling);
+    const auto doubling = std::min(it.ejections++, max_doublings);
     const auto pause = std::min(options_.first_ejection * (1 << doubling), options_.longest_ejection);
     it.ejected_until = now + pause;
 }
--- a/src/runlink/core/endpoint_selector_test.cpp
+++ b/src/runlink/core/endpoint_selector_test.cpp
@@ -45,7 +45,8 @@
 
 } // namespace
 
-TEST_CASE_METHOD(fixture, "the endpoint with the fewest own requests is chosen, and equal ones in turn")
+TEST_CASE_METHOD(
+    fixture, "the endpoint with the fewest requests of this instance is chosen, and equal ones are all used")
 {
     std::set<std::string> seen;
     for (int n = 0; n < 50; ++n)
@@ -60,7 +61,7 @@
         CHECK(pick() == "e1");
 }
 
-TEST_CASE_METHOD(fixture, "an instance takes its share of an endpoint, and one more for a quick request")
+TEST_CASE_METHOD(fixture, "an instance uses its share of an endpoint, and one more slot for a quick request")
 {
     selector_options options;
     options.instances = 4;
@@ -79,7 +80,8 @@
     CHECK(shared.pick(start, demand) == nullptr);
 }
 
-TEST_CASE_METHOD(fixture, "an endpoint is never given more than its capacity, and quick requests keep room")
+TEST_CASE_METHOD(fixture,
+                 "an endpoint at its capacity gets no request, not even a quick one, but stays usable")
 {
     for (int n = 0; n < 4; ++n)
     {
@@ -91,7 +93,8 @@
     CHECK(it.any_usable(start, demand));
 }
 
-TEST_CASE_METHOD(fixture, "an endpoint that fails in a row is put aside, tried once, and taken back")
+TEST_CASE_METHOD(fixture,
+                 "an endpoint with consecutive failures is ejected, probed with one request and used again")
 {
     lose(e1, 3);
     CHECK(it.is_ejected(start, e1));
@@ -100,12 +103,12 @@
     it.started(e2);
     CHECK(pick(later) == "e1");
     it.started(e1);
-    CHECK(pick(later) == "e2"); // one request at a time until it has answered
+    CHECK(pick(later) == "e2"); // one request at a time until it answers one
     it.finished(later, e1, attempt_result::answered);
     CHECK(pick(later) == "e1");
 }
 
-TEST_CASE_METHOD(fixture, "ejections grow longer while they fail")
+TEST_CASE_METHOD(fixture, "ejections become longer while probes fail")
 {
     lose(e1, 3);
     const auto later = start + milliseconds{1500};
@@ -115,7 +118,8 @@
 }
 
 TEST_CASE_METHOD(
-    fixture, "a prompt goes to the endpoint that holds its prefix until that one is loaded above the mean")
+    fixture,
+    "a prompt goes to the endpoint with its cached prefix until that one has more load than the mean")
 {
     demand.prefix_hash = 99;
     const auto home = pick();
@@ -127,7 +131,7 @@
     CHECK(pick() != home);
 }
 
-TEST_CASE("a leave mark outlives words that the process is live, and ends with its process")
+TEST_CASE("a leave mark stays when its process is reported live, and ends when a newer process is seen")
 {
     leave_marks it;
     CHECK(it.mark({e1, endpoint_incarnation{7}}));
@@ -136,7 +140,7 @@
     CHECK(it.is_leaving(e1));
     it.seen_live(e1, endpoint_incarnation{8});
     CHECK_FALSE(it.is_leaving(e1));
-    CHECK_FALSE(it.mark({e1, endpoint_incarnation{7}})); // gossip that is late
+    CHECK_FALSE(it.mark({e1, endpoint_incarnation{7}})); // a late report by a peer
     CHECK(it.all().empty());
     CHECK(it.mark({e1, endpoint_incarnation{8}}));
     CHECK(it.is_leaving(e1));
--- a/src/runlink/core/fair_queue.cpp
+++ b/src/runlink/core/fair_queue.cpp
@@ -18,53 +18,54 @@
 
 void fair_queue::remove(const request_id& request)
 {
-    for (auto* lane : {&quick_, &normal_})
+    for (auto* queues : {&quick_, &normal_})
     {
-        for (auto& [unused, it] : *lane)
+        for (auto& [unused, it] : *queues)
             std::erase(it, request);
-        std::erase_if(*lane, [](const auto& it) { return it.second.empty(); });
+        std::erase_if(*queues, [](const auto& it) { return it.second.empty(); });
     }
 }
 
-bool fair_queue::offer_round(lane& it, account_id& turn,
-                             const std::function<bool(const request_id&)>& try_start)
+bool fair_queue::offer_until_started(account_queues& queues, account_id& last_served,
+                                     const std::function<bool(const request_id&)>& try_start)
 {
     std::vector<account_id> accounts;
-    const auto first = it.upper_bound(turn);
-    for (auto e = first; e != it.end(); ++e)
-        accounts.push_back(e->first);
-    for (auto e = it.begin(); e != first; ++e)
-        accounts.push_back(e->first);
+    const auto first = queues.upper_bound(last_served);
+    for (auto next = first; next != queues.end(); ++next)
+        accounts.push_back(next->first);
+    for (auto next = queues.begin(); next != first; ++next)
+        accounts.push_back(next->first);
     for (const auto& account : accounts)
     {
-        const auto request = take_front(it, account);
+        const auto request = take_front(queues, account);
         if (!request)
             continue;
         if (try_start(*request))
         {
-            turn = account;
+            last_served = account;
             return true;
         }
-        it[account].push_front(*request);
+        queues[account].push_front(*request);
     }
     return false;
 }
 
-std::optional<request_id> fair_queue::take_front(lane& it, const account_id& account)
+std::optional<request_id> fair_queue::take_front(account_queues& queues, const account_id& account)
 {
-    const auto found = it.find(account);
-    if (found == it.end())
+    const auto found = queues.find(account);
+    if (found == queues.end())
         return std::nullopt;
     auto out = found->second.front();
     found->second.pop_front();
     if (found->second.empty())
-        it.erase(found);
+        queues.erase(found);
     return out;
 }
 
 void fair_queue::offer(const std::function<bool(const request_id&)>& try_start)
 {
-    while (offer_round(quick_, quick_turn_, try_start) || offer_round(normal_, normal_turn_, try_start))
+    while (offer_until_started(quick_, quick_last_served_, try_start) ||
+           offer_until_started(normal_, normal_last_served_, try_start))
     {
     }
 }
@@ -72,8 +73,8 @@
 std::size_t fair_queue::size() const
 {
     std::size_t out = 0;
-    for (const auto* lane : {&quick_, &normal_})
-        for (const auto& [unused, it] : *lane)
+    for (const auto* queues : {&quick_, &normal_})
+        for (const auto& [unused, it] : *queues)
             out += it.size();
     return out;
 }
--- a/src/runlink/core/instance.cpp
+++ b/src/runlink/core/instance.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Heartbeats between two that hold all members and all counts.
-constexpr std::uint64_t whole_heartbeat_every = 10;
+/// One heartbeat in this many is full: it holds all members and all counts.
+constexpr std::uint64_t heartbeats_per_full_one = 10;
 
 constexpr double min_write_burst = 4;
 constexpr double write_burst_seconds = 0.2;
@@ -23,23 +23,23 @@
 
 } // namespace
 
-instance::instance(instance_options options, instance_edge edge)
-    : options_{std::move(options)}, edge_{std::move(edge)}, random_{options_.random_seed},
+instance::instance(instance_options options, instance_edge hooks)
+    : options_{std::move(options)}, hooks_{std::move(hooks)}, random_{options_.random_seed},
       members_{options_.self, options_.members}, selector_{options_.selector,
                                                            [this](const endpoint_id& it)
                                                            { return leaving_.is_leaving(it); },
                                                            random_},
       limits_{options_.expected_instances}, guard_{options_.guard, [this] { return members_.live_count(); }},
-      sessions_{options_.secrets, edge_.mac}, client_{options_.self, options_.client, make_client_hooks()},
+      sessions_{options_.secrets, hooks_.mac}, client_{options_.self, options_.client, make_client_hooks()},
       keeper_{options_.deployment,
               options_.keeper,
-              {edge_.store, [this](const auto& it) { on_applied(it); },
+              {hooks_.store, [this](const auto& it) { on_applied(it); },
                [this](const member_info& it) { send(it.address, configuration_request{}); }}}
 {
     for (std::uint64_t n = 0; n < options_.client.partitions; ++n)
         partitions_.push_back(std::make_unique<ledger_partition>(partition_id{n}, options_.self.incarnation,
                                                                  options_.ledger, make_ledger_hooks()));
-    router_ = std::make_unique<request_router>(options_.router, options_.self.incarnation, edge_.router,
+    router_ = std::make_unique<request_router>(options_.router, options_.self.incarnation, hooks_.router,
                                                router_parts{client_, selector_, limits_, guard_, sessions_});
     for (const auto& it : options_.seed_addresses)
         members_.add_address(it);
@@ -47,8 +47,8 @@
     { return keeper_.current() && may_be_stopped(*keeper_.current(), it); };
     guard_.on_bad = [this](const version_ref& it, bool stopped)
     {
-        edge_.state_changed("version " + it.str() +
-                            (stopped ? " is bad, stopped" : " is bad, but the last one"));
+        hooks_.state_changed("version " + it.str() +
+                             (stopped ? " is bad, stopped" : " is bad, but the last one"));
         if (stopped)
             keeper_.withdraw(it);
     };
@@ -57,13 +57,13 @@
 ledger_hooks instance::make_ledger_hooks()
 {
     ledger_hooks it;
-    it.store = edge_.store;
-    it.codec = edge_.codec;
-    it.wall_clock = edge_.wall_clock;
+    it.store = hooks_.store;
+    it.codec = hooks_.codec;
+    it.wall_clock = hooks_.wall_clock;
     it.is_alive = [this](const incarnation_id& e) { return members_.is_alive(e); };
-    it.may_write = [this](time_point now) { return ledger_rate_.try_take(now); };
+    it.may_write = [this](time_point now) { return ledger_write_rate_.try_take(now); };
     it.next_batch = [this]
-    { return batch_id{options_.self.incarnation.str() + "-" + std::to_string(++batches_)}; };
+    { return batch_id{options_.self.incarnation.str() + "-" + std::to_string(++batch_count_)}; };
     return it;
 }
 
@@ -84,12 +84,12 @@
 
 void instance::send(const std::string& address, peer_message message)
 {
-    edge_.send(address, {options_.deployment, options_.self, std::move(message)});
+    hooks_.send(address, {options_.deployment, options_.self, std::move(message)});
 }
 
 void instance::on_applied(const configuration_ptr& it)
 {
-    edge_.state_changed("configuration " + std::to_string(it->revision.value()) + " in force");
+    hooks_.state_changed("configuration " + std::to_string(it->revision.value()) + " in force");
     for (const auto& model : it->models)
         for (const auto& version : model.versions)
             if (const version_ref ref{model.id, version.id};
@@ -104,14 +104,14 @@
     now_ = now;
     for (const auto& it : members_.tick(now))
     {
-        edge_.state_changed("instance " + it.id.str() + " is silent");
+        hooks_.state_changed("instance " + it.id.str() + " is silent");
         client_.on_member_died(now, it);
     }
     keeper_.tick(now);
     const bool ready = is_ready(now);
     if (ready != std::exchange(was_ready_, ready))
     {
-        edge_.state_changed(ready ? "ready" : "not ready");
+        hooks_.state_changed(ready ? "ready" : "not ready");
         next_heartbeat_ = now;
     }
     members_.set_self_state(keeper_.is_ready(now, members_), stopping_);
@@ -128,7 +128,7 @@
 
 void instance::assign_partitions(time_point now)
 {
-    if (assigned_at_ == members_.change_count())
+    if (assigned_change_count_ == members_.change_count())
         return;
     std::size_t owned = 0;
     bool complete = true;
@@ -142,35 +142,35 @@
             it.acquire(now);
         else if (owner && !it.has_pending())
             it.resign();
-        // What is under way is finished before the partition is given up.
+        // A partition is given up only after its pending operations; until then the assignment is repeated.
         complete = complete && (mine || it.current_state() == ledger_partition::state::idle);
     }
-    // There are at most as many owners as instances and as partitions, so that their rates never sum above
-    // the whole.
+    // There are at most as many owners as instances or partitions, so the sum of their rates never exceeds
+    // the rate of the deployment.
     const auto owners = std::min<std::size_t>(members_.live_count(), partitions_.size());
     const double rate = owned == 0 ? 0 : options_.ledger_writes_per_second / static_cast<double>(owners);
-    ledger_rate_.reconfigure(rate, std::max(min_write_burst, rate * write_burst_seconds));
+    ledger_write_rate_.reconfigure(rate, std::max(min_write_burst, rate * write_burst_seconds));
     if (complete)
-        assigned_at_ = members_.change_count();
+        assigned_change_count_ = members_.change_count();
 }
 
 void instance::send_heartbeats(time_point now)
 {
     next_heartbeat_ = now + options_.members.heartbeat_interval;
-    // Counts are running totals: what a lost heartbeat held comes again with the next whole one.
-    const bool whole = heartbeats_++ % whole_heartbeat_every == 0;
+    // Counts are running totals, so the next full heartbeat makes up for a lost one.
+    const bool full = sent_heartbeat_count_++ % heartbeats_per_full_one == 0;
     heartbeat it;
     it.ready = keeper_.is_ready(now, members_);
     it.stopping = stopping_;
     it.revision = keeper_.revision();
     it.leaving = leaving_.all();
     for (const auto& counts : guard_.counts())
-        if (auto& sent = sent_counts_[counts.version]; whole || sent != counts)
+        if (auto& sent = sent_counts_[counts.version]; full || sent != counts)
         {
             it.versions.push_back(counts);
             sent = counts;
         }
-    if (whole)
+    if (full)
         it.members = members_.peers();
     for (const auto& address : members_.addresses())
         send(address, it);
@@ -187,7 +187,7 @@
 void instance::on_message(time_point now, const member_info& from, const heartbeat& it)
 {
     if (members_.on_heartbeat(now, from, it))
-        edge_.state_changed("instance " + from.id.str() + state_name(it));
+        hooks_.state_changed("instance " + from.id.str() + state_name(it));
     for (const auto& e : it.leaving)
         leaving_.mark(e);
     guard_.on_peer(from.incarnation, it.versions);
@@ -238,8 +238,10 @@
 void instance::on_request(time_point now, const caller_request& request)
 {
     now_ = now;
-    const auto refuse = [&](errc code, const char* place) {
-        edge_.router.refuse(request.id, {{code, place, options_.router.retry_after}, run_outcome::not_run});
+    const auto refuse = [&](errc code, const char* detail)
+    {
+        hooks_.router.refuse(request.id,
+                             {{code, detail, options_.router.default_retry_after}, run_outcome::not_run});
     };
     if (keeper_.is_cut_off(now, members_))
         return refuse(errc::cut_off, "instance");
@@ -254,7 +256,7 @@
         return;
     stop_admission_at_ = now + balancer_wait;
     next_heartbeat_ = now;
-    edge_.state_changed("stopping");
+    hooks_.state_changed("stopping");
 }
 
 bool instance::is_stopped(time_point now) const
@@ -277,7 +279,7 @@
         return leaving_.seen_live(endpoint, incarnation);
     if (!leaving_.mark({endpoint, incarnation}))
         return;
-    edge_.state_changed("endpoint " + endpoint.str() + " is leaving");
+    hooks_.state_changed("endpoint " + endpoint.str() + " is leaving");
     next_heartbeat_ = now;
 }
 
@@ -309,13 +311,13 @@
     const auto it = make_plan(current ? *current : empty, intent, operation_id);
     if (!it)
         return it.error();
-    return print_plan(it.value(), options_.secrets.front(), edge_.mac);
+    return print_plan(it.value(), options_.secrets.front(), hooks_.mac);
 }
 
 void instance::confirm_plan(time_point now, std::string_view text,
                             const configuration_keeper::confirm_handler& handler)
 {
-    auto it = parse_plan(text, options_.secrets.front(), edge_.mac);
+    auto it = parse_plan(text, options_.secrets.front(), hooks_.mac);
     if (!it)
         return handler(it.error());
     keeper_.confirm(now, std::move(it).value(), handler);
--- a/src/runlink/core/json_reader.cpp
+++ b/src/runlink/core/json_reader.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Reports member names that stand twice in one object; the parser alone would keep the last.
+/// Reports duplicate member names in one object, of which the parser alone would keep the last one.
 class duplicate_finder
 {
 public:
--- a/src/runlink/core/limits_test.cpp
+++ b/src/runlink/core/limits_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a token bucket admits its burst, then its rate, and tells when the next token comes")
+TEST_CASE("a token bucket admits its burst, then its rate, and reports when the next token is available")
 {
     rate_limiter it{10, 2};
     CHECK(it.try_take(start));
@@ -37,7 +37,7 @@
     CHECK(rate_limiter(0, 0).time_until_token(start) == duration::max());
 }
 
-TEST_CASE("the shares of all instances never sum above an account's limit")
+TEST_CASE("the sum of the instances' shares never exceeds an account's limit")
 {
     const double limit = 70;
     std::uint64_t admitted = 0;
@@ -52,7 +52,7 @@
     CHECK(admitted >= limit * 10);
 }
 
-TEST_CASE("a refusal for the limit says when to come back, and a finished request makes room")
+TEST_CASE("a request over the limit is refused with a retry time, and a finished request frees its slot")
 {
     account_limits it{2};
     it.apply(with_limits(0, 2));
@@ -74,7 +74,8 @@
     CHECK_FALSE(it.admit(start, account_id{"a"}));
 }
 
-TEST_CASE("accounts take turns, quick requests go first, a head that cannot start does not block others")
+TEST_CASE(
+    "quick requests go first, accounts take turns, a request that cannot start does not block other accounts")
 {
     fair_queue it;
     for (int n = 0; n < 3; ++n)
@@ -96,7 +97,7 @@
     CHECK(it.size() == 1);
 }
 
-TEST_CASE("retries are a part of first attempts")
+TEST_CASE("retries are limited to a share of the first attempts")
 {
     retry_budget it{0.1, 1};
     CHECK(it.try_take());
--- a/src/runlink/core/membership.cpp
+++ b/src/runlink/core/membership.cpp
@@ -19,18 +19,18 @@
         return;
     self_ready_ = ready;
     self_stopping_ = stopping;
-    changed();
+    record_change();
 }
 
-void membership::changed()
+void membership::record_change()
 {
-    ++changes_;
-    owners_.clear();
+    ++change_count_;
+    owner_cache_.clear();
 }
 
 bool membership::on_heartbeat(time_point now, const member_info& sender, const heartbeat& it)
 {
-    if (sender.incarnation == self_.incarnation || replaced_.contains(sender.incarnation))
+    if (sender.incarnation == self_.incarnation || replaced_incarnations_.contains(sender.incarnation))
         return false;
     const auto known = members_.find(sender.incarnation);
     const bool is_new = known == members_.end();
@@ -40,14 +40,15 @@
                       {
                           const bool old = e.second.info.id == sender.id;
                           if (old)
-                              replaced_.insert(e.first);
+                              replaced_incarnations_.insert(e.first);
                           return old;
                       });
     auto& member = members_[sender.incarnation];
-    const bool is_change = is_new || member.last.ready != it.ready || member.last.stopping != it.stopping;
+    const bool is_change =
+        is_new || member.last_heartbeat.ready != it.ready || member.last_heartbeat.stopping != it.stopping;
     member = {sender, it, now};
     if (is_change)
-        changed();
+        record_change();
     for (const auto& e : it.members)
         add_address(e.address);
     add_address(sender.address);
@@ -61,17 +62,17 @@
     std::vector<member_info> dead;
     if (gap > options_.pause_threshold)
         for (auto& [unused, it] : members_)
-            it.seen += gap;
+            it.last_seen += gap;
     std::erase_if(members_,
                   [&](const auto& it)
                   {
-                      const bool silent = now - it.second.seen > options_.dead_after;
+                      const bool silent = now - it.second.last_seen > options_.dead_after;
                       if (silent)
                           dead.push_back(it.second.info);
                       return silent;
                   });
     if (!dead.empty())
-        changed();
+        record_change();
     return dead;
 }
 
@@ -109,10 +110,10 @@
 
 std::optional<member_info> membership::owner_of(partition_id partition) const
 {
-    const auto found = owners_.find(partition);
-    if (found != owners_.end())
+    const auto found = owner_cache_.find(partition);
+    if (found != owner_cache_.end())
         return found->second;
-    return owners_.emplace(partition, find_owner(partition)).first->second;
+    return owner_cache_.emplace(partition, find_owner(partition)).first->second;
 }
 
 std::optional<member_info> membership::find_owner(partition_id partition) const
@@ -131,37 +132,37 @@
     if (self_ready_ && !self_stopping_)
         offer(self_);
     for (const auto& [unused, it] : members_)
-        if (it.last.ready && !it.last.stopping)
+        if (it.last_heartbeat.ready && !it.last_heartbeat.stopping)
             offer(it.info);
     return best;
 }
 
 std::vector<member_info> membership::copy_holders(std::size_t n) const
 {
-    std::set<failure_domain_id> used{self_.failure_domain};
+    std::set<failure_domain_id> used_domains{self_.failure_domain};
     std::vector<member_info> out;
-    const auto take = [&](bool other_domain)
+    const auto add_holders = [&](bool new_domains_only)
     {
         for (const auto& [unused, it] : members_)
         {
             if (out.size() == n)
                 return;
-            if (std::find(out.begin(), out.end(), it.info) != out.end() || it.last.stopping)
+            if (std::find(out.begin(), out.end(), it.info) != out.end() || it.last_heartbeat.stopping)
                 continue;
-            if (other_domain && !used.insert(it.info.failure_domain).second)
+            if (new_domains_only && !used_domains.insert(it.info.failure_domain).second)
                 continue;
             out.push_back(it.info);
         }
     };
-    take(true);
-    take(false);
+    add_holders(true);
+    add_holders(false);
     return out;
 }
 
 const heartbeat* membership::last_heartbeat(const incarnation_id& it) const
 {
     const auto found = members_.find(it);
-    return found == members_.end() ? nullptr : &found->second.last;
+    return found == members_.end() ? nullptr : &found->second.last_heartbeat;
 }
 
 } // namespace runlink::core
--- a/src/runlink/core/membership_test.cpp
+++ b/src/runlink/core/membership_test.cpp
@@ -9,9 +9,9 @@
 
 constexpr time_point start{seconds{100}};
 
-member_info member(const std::string& name, const std::string& domain, int life = 1)
+member_info member(const std::string& name, const std::string& domain, int start_number = 1)
 {
-    return {instance_id{name}, incarnation_id{name + std::to_string(life)}, failure_domain_id{domain},
+    return {instance_id{name}, incarnation_id{name + std::to_string(start_number)}, failure_domain_id{domain},
             "10.0.0.1:" + name};
 }
 
@@ -24,7 +24,8 @@
 
 } // namespace
 
-TEST_CASE("a silent member dies, a replaced one at once, and its late heartbeats do not bring it back")
+TEST_CASE(
+    "a silent member is removed, a restarted one is replaced at once, and late heartbeats do not restore it")
 {
     membership it{member("a", "d1"), {}};
     it.on_heartbeat(start, member("b", "d2"), ready());
@@ -39,7 +40,7 @@
     CHECK(it.tick(start + milliseconds{2600}).size() == 1);
 }
 
-TEST_CASE("a process that was paused does not take its peers for dead")
+TEST_CASE("a process that was paused does not consider its peers dead")
 {
     membership it{member("a", "d1"), {}};
     it.on_heartbeat(start, member("b", "d2"), ready());
@@ -48,7 +49,7 @@
     CHECK(it.is_alive(incarnation_id{"b1"}));
 }
 
-TEST_CASE("owners are ready and not stopping, the same for everybody, and spread out")
+TEST_CASE("partition owners are ready and not stopping, the same on all instances, and evenly distributed")
 {
     membership a{member("a", "d1"), {}};
     membership b{member("b", "d2"), {}};
--- a/src/runlink/core/request_router.cpp
+++ b/src/runlink/core/request_router.cpp
@@ -16,7 +16,7 @@
     configuration_ = std::move(configuration);
     parts_.selector.apply(configuration_);
     parts_.limits.apply(*configuration_);
-    pump(now_);
+    dispatch_queued(now_);
 }
 
 // Arrival
@@ -25,42 +25,43 @@
 {
     now_ = now;
     const auto id = request.id;
-    auto checked = check(now, request);
-    if (!checked)
+    auto admitted_request = admit_request(now, request);
+    if (!admitted_request)
     {
-        const refusal it{checked.error(), run_outcome::not_run};
+        const refusal it{admitted_request.error(), run_outcome::not_run};
         count_refusal(it);
         return hooks_.refuse(id, it);
     }
     ++counters_.admitted;
-    auto& it = requests_.emplace(id, std::move(checked).value()).first->second;
+    auto& it = requests_.emplace(id, std::move(admitted_request).value()).first->second;
     it.arrived = now;
     if (it.request.key)
         return claim(now, id);
     enqueue(id, false);
-    pump(now);
+    dispatch_queued(now);
 }
 
-result<request_router::active> request_router::check(time_point now, const caller_request& request) const
+result<request_router::active_request> request_router::admit_request(time_point now,
+                                                                     const caller_request& request) const
 {
     if (stopping_)
-        return failure{errc::stopping, "instance", options_.retry_after};
+        return failure{errc::stopping, "instance", options_.default_retry_after};
     if (!configuration_)
-        return failure{errc::not_ready, "configuration", options_.retry_after};
+        return failure{errc::not_ready, "configuration", options_.default_retry_after};
     if (parts_.ledger.is_full())
-        return failure{errc::ledger_unavailable, "pending", options_.retry_after};
+        return failure{errc::ledger_unavailable, "pending", options_.default_retry_after};
     const auto* account = configuration_->find_account(request.account);
     if (account == nullptr)
         return failure{errc::unauthenticated, "account"};
-    active it;
+    active_request it;
     it.request = request;
     BOOST_OUTCOME_TRYV(check_target(*account, it));
-    BOOST_OUTCOME_TRYV(check_room(now, it));
+    BOOST_OUTCOME_TRYV(check_capacity(now, it));
     BOOST_OUTCOME_TRYV(parts_.limits.admit(now, request.account));
     return it;
 }
 
-result<void> request_router::check_target(const account_settings& account, active& it) const
+result<void> request_router::check_target(const account_settings& account, active_request& it) const
 {
     if (it.request.service)
     {
@@ -73,12 +74,12 @@
     if (configuration_->find_model(it.request.model) == nullptr)
         return failure{errc::unknown_model, it.request.model.str()};
     BOOST_OUTCOME_TRYV(check_session(account, it));
-    BOOST_OUTCOME_TRY(version, version_for(now_, it));
+    BOOST_OUTCOME_TRY(version, select_version(now_, it));
     it.version = version;
     return boost::outcome_v2::success();
 }
 
-result<void> request_router::check_session(const account_settings& account, active& it) const
+result<void> request_router::check_session(const account_settings& account, active_request& it) const
 {
     const auto& session = it.request.session;
     if (session.empty())
@@ -92,16 +93,16 @@
     if (!fits)
         return failure{errc::session_token_invalid, "Runlink-Session"};
     it.session = pin.session;
-    it.pin = pin.version;
+    it.pinned_version = pin.version;
     return boost::outcome_v2::success();
 }
 
-result<void> request_router::check_room(time_point now, const active& it) const
+result<void> request_router::check_capacity(time_point now, const active_request& it) const
 {
     const auto demand = demand_of(it);
     const auto capacity = parts_.selector.capacity(now, demand);
     if (capacity == 0)
-        return failure{errc::no_endpoint, queue_name(it), options_.retry_after};
+        return failure{errc::no_endpoint, queue_name(it), options_.default_retry_after};
     const auto found = queues_.find(queue_name(it));
     const auto queued = found == queues_.end() ? 0 : found->second.size();
     if (queued == 0)
@@ -120,23 +121,23 @@
 {
     const auto& it = requests_.at(id);
     const auto on_claim = [this, id](const result<ledger_reply>& reply) { on_claimed(id, reply); };
-    parts_.ledger.claim(now, entry_of(it), it.request.repeatable, on_claim);
+    parts_.ledger.claim(now, ledger_entry_of(it), it.request.repeatable, on_claim);
 }
 
 void request_router::on_claimed(const request_id& id, const result<ledger_reply>& reply)
 {
     const auto found = requests_.find(id);
-    if (found == requests_.end() || found->second.at != phase::claiming)
+    if (found == requests_.end() || found->second.current_phase != phase::claiming)
         return;
     auto& it = found->second;
     const bool granted = reply && reply.value().status == ledger_status::granted;
-    it.claimed = granted;
+    it.key_claimed = granted;
     if (granted && it.caller_gone)
         return refuse_not_run(now_, it, {errc::caller_left, "connection"});
     if (granted || (!reply && it.request.repeatable))
     {
         enqueue(id, false);
-        return pump(now_);
+        return dispatch_queued(now_);
     }
     if (!reply)
         return refuse_not_run(now_, it, reply.error());
@@ -149,13 +150,13 @@
     {
     case ledger_status::settled: return replay(it, reply.value().record);
     case ledger_status::in_progress:
-        return end_with(errc::request_in_progress, run_outcome::unknown, options_.retry_after);
+        return end_with(errc::request_in_progress, run_outcome::unknown, options_.default_retry_after);
     case ledger_status::key_reused: return end_with(errc::key_reused, run_outcome::not_run, std::nullopt);
     default: return end_with(errc::request_unknown, run_outcome::unknown, std::nullopt);
     }
 }
 
-void request_router::replay(active& it, const ledger_entry& record)
+void request_router::replay(active_request& it, const ledger_entry& record)
 {
     const auto id = it.request.id;
     if (!record.answer.kept)
@@ -180,7 +181,7 @@
 
 // Queue and dispatch
 
-std::string request_router::queue_name(const active& it) const
+std::string request_router::queue_name(const active_request& it) const
 {
     return it.request.service ? "service/" + it.request.service->str() : "model/" + it.request.model.str();
 }
@@ -188,7 +189,7 @@
 void request_router::enqueue(const request_id& id, bool front)
 {
     auto& it = requests_.at(id);
-    it.at = phase::queued;
+    it.current_phase = phase::queued;
     auto& queue = queues_[queue_name(it)];
     if (front)
         queue.push_front(it.request.account, id, it.request.quick);
@@ -196,9 +197,9 @@
         queue.push(it.request.account, id, it.request.quick);
 }
 
-void request_router::pump(time_point now)
+void request_router::dispatch_queued(time_point now)
 {
-    if (std::exchange(pumping_, true))
+    if (std::exchange(dispatching_queued_, true))
         return;
     std::vector<std::string> names;
     for (const auto& [name, it] : queues_)
@@ -207,7 +208,7 @@
     for (const auto& name : names)
         queues_[name].offer([&](const request_id& id) { return try_start(now, id); });
     std::erase_if(queues_, [](const auto& it) { return it.second.size() == 0; });
-    pumping_ = false;
+    dispatching_queued_ = false;
 }
 
 bool request_router::try_start(time_point now, const request_id& id)
@@ -221,7 +222,7 @@
         expire(now, it);
         return true;
     }
-    if (const auto target = take_target(now, it); !target)
+    if (const auto target = refresh_target(now, it); !target)
     {
         if (it.may_have_run)
             end_unknown(now, it, target.error());
@@ -236,25 +237,25 @@
     return true;
 }
 
-result<void> request_router::take_target(time_point now, active& it) const
+result<void> request_router::refresh_target(time_point now, active_request& it) const
 {
     const auto& service = it.request.service;
     if (service && configuration_->find_service(*service) == nullptr)
         return failure{errc::unknown_service, service->str()};
     if (service)
         return boost::outcome_v2::success();
-    BOOST_OUTCOME_TRY(version, version_for(now, it));
+    BOOST_OUTCOME_TRY(version, select_version(now, it));
     it.version = version;
     return boost::outcome_v2::success();
 }
 
-result<version_ref> request_router::version_for(time_point now, const active& it) const
+result<version_ref> request_router::select_version(time_point now, const active_request& it) const
 {
     const auto* account = configuration_->find_account(it.request.account);
     if (account == nullptr)
         return failure{errc::unauthenticated, "account"};
-    if (it.pin)
-        return check_version(*configuration_, *account, *it.pin, true);
+    if (it.pinned_version)
+        return check_version(*configuration_, *account, *it.pinned_version, true);
     if (it.request.version)
         return check_version(*configuration_, *account, {it.request.model, *it.request.version}, false);
     const auto filter = [&](const version_settings& settings, const version_ref& ref)
@@ -262,15 +263,15 @@
     return choose_version(*configuration_, *account, it.request, filter);
 }
 
-endpoint_demand request_router::demand_of(const active& it) const
+endpoint_demand request_router::demand_of(const active_request& it) const
 {
     endpoint_demand out;
     out.quick = it.request.quick;
     out.prefix_hash = it.request.prefix_hash;
-    out.excluded = it.tried.empty() ? nullptr : &it.tried;
+    out.excluded = it.failed_endpoints.empty() ? nullptr : &it.failed_endpoints;
     if (it.request.service)
     {
-        // Without the service no pool fits.
+        // The empty id of a service that was removed matches no pool.
         const auto* service = configuration_->find_service(*it.request.service);
         out.pool = service == nullptr ? pool_id{} : service->pool;
     }
@@ -279,17 +280,17 @@
     return out;
 }
 
-void request_router::dispatch(time_point now, active& it, const endpoint_settings& endpoint)
+void request_router::dispatch(time_point now, active_request& it, const endpoint_settings& endpoint)
 {
     const attempt_id id{next_attempt_++};
-    it.at = phase::running;
+    it.current_phase = phase::running;
     it.endpoint = endpoint.id;
     it.attempts.insert(id);
     it.may_have_run = true;
-    ++it.tries;
+    ++it.attempt_count;
     ++counters_.attempts;
-    if (it.tries == 1)
-        retries_.on_first_attempt();
+    if (it.attempt_count == 1)
+        retry_budget_.on_first_attempt();
     attempts_.emplace(id, attempt{it.request.id, endpoint.id, it.version, now, false});
     parts_.selector.started(endpoint.id);
     if (!it.request.service)
--- a/src/runlink/core/request_router_test.cpp
+++ b/src/runlink/core/request_router_test.cpp
@@ -23,7 +23,7 @@
     return out;
 }
 
-/// An instance with as many calls of the service under way as its endpoint takes, and one that waits.
+/// An instance that runs as many calls of the service as its endpoint accepts, with one more call queued.
 class busy_service
 {
 public:
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a call that waits is refused when its service is removed")
+TEST_CASE("a queued call is refused when its service is removed")
 {
     busy_service it;
     it.remove_service();
@@ -79,13 +79,13 @@
     CHECK(seen.refusal.outcome == run_outcome::unknown);
 }
 
-TEST_CASE("a call under way is answered though its service is removed")
+TEST_CASE("a running call is answered although its service is removed")
 {
     busy_service it;
     it.remove_service();
     auto* call = it.world.open_call_of(request_id{"r1"});
     REQUIRE(call != nullptr);
     it.world.endpoint_answers(*call, "done");
-    it.world.advance(seconds{1}); // the record is written first
+    it.world.advance(seconds{1}); // the answer ends after its record is written
     CHECK(it.world.caller(request_id{"r1"}).whole);
 }
--- a/src/runlink/core/session_token_test.cpp
+++ b/src/runlink/core/session_token_test.cpp
@@ -17,7 +17,8 @@
 
 } // namespace
 
-TEST_CASE("a token says what it was issued for, also after the secret was changed")
+TEST_CASE(
+    "a token stays valid after a new secret is added, and one signed with an unknown secret is rejected")
 {
     const session_tokens before{{"old"}, mac};
     const session_tokens after{{"new", "old"}, mac};
@@ -25,7 +26,7 @@
     CHECK(before.verify(after.issue(pin)).error().code == errc::session_token_invalid);
 }
 
-TEST_CASE("no token that was changed is taken")
+TEST_CASE("a modified token is rejected")
 {
     const session_tokens it{{"secret"}, mac};
     const auto token = it.issue(pin);
--- a/src/runlink/core/version_choice.cpp
+++ b/src/runlink/core/version_choice.cpp
@@ -21,25 +21,25 @@
     return it == version_state::serving || it == version_state::rolling_out;
 }
 
-/// Versions that roll out have their share; those that serve divide the rest.
-std::vector<weighted_version> weigh(const std::vector<const version_settings*>& versions,
-                                    const model_id& model)
+/// Versions that are rolled out get their configured share; serving versions divide the rest equally.
+std::vector<weighted_version> assign_weights(const std::vector<const version_settings*>& versions,
+                                             const model_id& model)
 {
-    double rolling = 0;
-    double serving = 0;
+    double rolling_percent = 0;
+    double serving_count = 0;
     for (const auto* it : versions)
     {
         if (it->state == version_state::rolling_out)
-            rolling += it->share_percent;
+            rolling_percent += it->share_percent;
         else
-            serving += 1;
+            serving_count += 1;
     }
-    const double rest = std::max(0.0, 100.0 - rolling);
+    const double remaining_percent = std::max(0.0, 100.0 - rolling_percent);
     std::vector<weighted_version> out;
     for (const auto* it : versions)
     {
         const bool is_rolling = it->state == version_state::rolling_out;
-        const double weight = is_rolling ? it->share_percent : rest / serving;
+        const double weight = is_rolling ? it->share_percent : remaining_percent / serving_count;
         if (weight > 0)
             out.push_back({{model, it->id}, weight});
     }
@@ -69,7 +69,7 @@
     }
     if (!any_allowed)
         return failure{errc::not_allowed, request.model.str()};
-    const auto choices = weigh(usable, model->id);
+    const auto choices = assign_weights(usable, model->id);
     if (choices.empty())
         return failure{errc::version_withdrawn, request.model.str(), seconds{5}};
     const auto score = [&](const auto& e)
--- a/src/runlink/core/version_guard_test.cpp
+++ b/src/runlink/core/version_guard_test.cpp
@@ -27,7 +27,8 @@
 
 } // namespace
 
-TEST_CASE("a young version has few unrated answers, more with good ratings, fewer with bad ones")
+TEST_CASE("a version that is rolled out may have few unrated answers, more after good ratings, fewer after "
+          "bad ones")
 {
     version_guard it{{}, [] { return std::size_t{1}; }};
     CHECK(admitted(it, 100) == 4);
@@ -37,18 +38,17 @@
     it.rated(r2, false);
     CHECK(it.window(r2) == Approx(4.8));
     CHECK(admitted(it, 100) == 0);
-    CHECK(it.admits(start, r2, version_state::serving)); // no window once it serves
-    CHECK(
-        it.admits(start + seconds{601}, r2, version_state::rolling_out)); // answers that nobody rates expire
+    CHECK(it.admits(start, r2, version_state::serving));                    // serving versions have no window
+    CHECK(it.admits(start + seconds{601}, r2, version_state::rolling_out)); // unrated answers expire
 }
 
-TEST_CASE("the window is shared among the instances")
+TEST_CASE("the window is divided among the instances")
 {
     version_guard it{{}, [] { return std::size_t{4}; }};
     CHECK(admitted(it, 100) == 1);
 }
 
-TEST_CASE("a bad version is stopped at once, by evidence of all instances, and peers follow")
+TEST_CASE("a bad version is stopped by the ratings of all instances, and its peers stop it too")
 {
     std::vector<std::string> stopped;
     version_guard a{{}, [] { return std::size_t{2}; }};
@@ -73,7 +73,7 @@
     CHECK_FALSE(a.is_stopped(r2));
 }
 
-TEST_CASE("a version that turns bad after a long good life is stopped as soon as a new one")
+TEST_CASE("a version that becomes bad after many good answers is stopped within five bad ones")
 {
     version_guard it{{}, [] { return std::size_t{1}; }};
     for (int n = 0; n < 10000; ++n)
@@ -84,7 +84,7 @@
     CHECK(bad <= 5);
 }
 
-TEST_CASE("versions are chosen by their share, the same for the same request, and withdrawn ones never")
+TEST_CASE("versions are chosen by their share, always the same for one request, and never a withdrawn one")
 {
     auto it = runlink::tests::base_configuration();
     it.models[0].versions[1].state = version_state::rolling_out;
@@ -93,16 +93,16 @@
     const auto all = [](const version_settings&, const version_ref&) { return true; };
     caller_request request;
     request.model = model_id{"review"};
-    int young = 0;
+    int rolled_out_count = 0;
     for (int n = 0; n < 2000; ++n)
     {
         request.id = request_id{std::to_string(n)};
         const auto chosen = choose_version(it, account, request, all).value();
         CHECK(chosen == choose_version(it, account, request, all).value());
-        young += chosen == r2 ? 1 : 0;
+        rolled_out_count += chosen == r2 ? 1 : 0;
     }
-    CHECK(young > 320);
-    CHECK(young < 480);
+    CHECK(rolled_out_count > 320);
+    CHECK(rolled_out_count < 480);
     it.models[0].versions[0].state = version_state::withdrawn;
     it.models[0].versions[1].state = version_state::retiring;
     CHECK(choose_version(it, account, request, all).error().code == errc::version_withdrawn);
