--- a/include/runlink/routing/admission.hpp
+++ b/include/runlink/routing/admission.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which requests are refused at once, and when refused callers are to come back.
+/// Admission control: which requests are refused on arrival, and the retry delay that refused callers get.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,33 @@
 /// Parameters of admission.
 struct admission_options
 {
-    /// Least and longest time that callers are told to stay away. Below the first a caller finds the same
-    /// queue again; above the second few of them have time left.
+    /// Bounds of the retry delay sent to callers, before the spread. A shorter delay brings a caller back to
+    /// the same queue; after a longer one few callers have time left before their deadline.
     core::milliseconds least_retry_after{300};
     core::milliseconds longest_retry_after{5000};
-    /// Callers that were refused together are told times that differ by up to this part, so that they do not
-    /// come back together.
+    /// Fraction of the retry delay by which the delays of different callers differ, so that callers refused
+    /// together do not retry together.
     double spread = 0.5;
 };
 
-/// Answers overload that no placement can help: what waits at every endpoint would outlast the request's
-/// deadline. Such a request is refused before it waits, as not run, with the time in which the queue drains.
-/// Only what waits counts, not the reading of the request's own prompt: the queue drains whatever the
-/// estimate of the speed is, so a wrong estimate cannot refuse for good.
+/// Refuses a request on arrival if the backlog at every endpoint would outlast the request's deadline. The
+/// refusal says that the request did not run and gives the time in which the backlog drains.
+///
+/// Only the backlog counts, not the time to read the request's own prompt: the backlog drains even if the
+/// estimate of the endpoint's speed is wrong, so a wrong estimate cannot refuse requests forever.
 class admission
 {
 public:
     explicit admission(admission_options options = {}) : options_{options} {}
 
-    /// The time to come back if the request cannot be served, nothing if it can. `wait`: at the endpoint
-    /// where it would be placed.
+    /// Returns the retry delay if the request cannot start before its deadline, nothing if it can. `wait` is
+    /// the backlog of the endpoint that the request would be sent to.
     std::optional<core::milliseconds> refuse_for(core::duration wait, core::milliseconds time_left,
                                                  std::uint64_t request_hash) const;
-    /// The time to come back to a place that there is after this time, and not before.
+    /// Returns the retry delay for a send slot that opens after `wait`: at least `wait`, plus the spread.
     core::milliseconds return_after(core::duration wait, std::uint64_t request_hash) const;
-    /// The time to come back to a queue that drains in this time.
+    /// Returns the retry delay for a backlog that drains within `wait`; `wait` is capped at
+    /// `longest_retry_after` before the spread is added.
     core::milliseconds retry_after(core::duration wait, std::uint64_t request_hash) const;
 
 private:
--- a/include/runlink/routing/forwarder_hooks.hpp
+++ b/include/runlink/routing/forwarder_hooks.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the forwarder tells its surroundings: orders to the edge, news for other instances, log lines,
-/// counters.
+/// The outgoing interface of the forwarder: commands to the HTTP edge, messages for other instances, log
+/// records and counters.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
 namespace runlink::routing
 {
 
-/// What happened, for the log. Empty and negative members are left out.
+/// A record of the structured log. Empty and negative members are omitted.
 struct decision
 {
     std::string_view event;
     std::string_view request;
     std::string_view reason;
-    std::string content; ///< fingerprint of the request's content, the same for each repeat of its caller
+    std::string content; ///< fingerprint of the request's content, equal for all retries by the caller
     std::string route;
     std::string account;
     std::string session;
@@ -32,9 +32,9 @@
     std::string version;
     std::string model;
     std::string failure_domain;
-    std::string_view source; ///< who said it: `answer` of the endpoint itself, or `peer`
-    std::string limit;       ///< requests a second that an endpoint takes from all instances together
-    std::optional<core::run_outcome> outcome; ///< of a request that has ended
+    std::string_view source; ///< `answer`: stated by the endpoint itself; `peer`: reported by an instance
+    std::string limit;       ///< requests per second that the endpoint accepts from all instances together
+    std::optional<core::run_outcome> outcome; ///< outcome of a completed request
     int status = -1;
     int confidence = -1;
     std::int64_t attempt = -1;
@@ -42,33 +42,34 @@
     std::int64_t time_left_ms = -1;
     std::int64_t proof_age_ms = -1;
     std::int64_t table_version = -1;
-    std::int64_t expected_wait_ms = -1;  ///< for what is read before this prompt
-    std::int64_t expected_read_ms = -1;  ///< for the prompt
-    std::int64_t cold_ms = -1;           ///< how much longer an endpoint counts as cold
-    std::int64_t ends = -1;              ///< endpoints that ended under the request
-    std::int64_t trials = -1;            ///< of the request, alone at an endpoint
-    std::int64_t evidence_age_ms = -1;   ///< since the latest of these ends
-    std::string_view denied;             ///< what spoke against another attempt
-    std::int64_t key_gone_ms = -1;       ///< since a key that is gone was last known to hold
-    std::int64_t allowance_left = -1;    ///< repeats that the service may still send
-    std::int64_t endpoints_fitting = -1; ///< that another attempt might have gone to
-    std::int64_t endpoints_limited = -1; ///< that would fit, had they not named a limit or asked for rest
-    std::int64_t place_ms = -1;          ///< until one of these may be sent to
-    std::int64_t endpoints_resting = -1; ///< of these, at their own request
-    std::int64_t rest_ms = -1;           ///< that an endpoint asked for
-    std::int64_t statement_age_ms = -1;  ///< since the endpoint said so
-    std::optional<bool> is_sender;       ///< whether this instance sends to that cold endpoint
+    std::int64_t expected_wait_ms = -1;  ///< time to read the prompts queued before this one
+    std::int64_t expected_read_ms = -1;  ///< time to read this prompt
+    std::int64_t cold_ms = -1;           ///< time for which the endpoint still counts as cold
+    std::int64_t ends = -1;              ///< number of endpoints that crashed while running the request
+    std::int64_t trials = -1;            ///< number of runs of the request in isolation at an endpoint
+    std::int64_t evidence_age_ms = -1;   ///< time since the latest of these crashes
+    std::string_view denied;             ///< why no further attempt was allowed
+    std::int64_t key_gone_ms = -1;       ///< time since a removed key was last known to be valid
+    std::int64_t allowance_left = -1;    ///< retries that the service's retry allowance still permits
+    std::int64_t endpoints_fitting = -1; ///< endpoints that could take another attempt
+    std::int64_t endpoints_limited = -1; ///< endpoints excluded only by a rate limit or a rest
+    std::int64_t place_ms = -1;          ///< time until one of these may be sent a request
+    std::int64_t endpoints_resting = -1; ///< endpoints among these that asked for a rest
+    std::int64_t rest_ms = -1;           ///< rest that an endpoint asked for
+    std::int64_t statement_age_ms = -1;  ///< time since the endpoint made the statement
+    std::optional<bool> is_sender;       ///< whether this instance is among the senders of the endpoint
 };
 
-/// What the forwarder tells the edge. For each request: one `forward_answer`, or `forward_head`, any
-/// `forward_bytes` and then `forward_end` or `break_off`, or one `refuse`.
+/// Callbacks of the forwarder. Each request gets exactly one of these sequences, unless its caller leaves:
+/// `forward_answer`; or `forward_head`, any number of `forward_bytes` and then `forward_end` or `break_off`;
+/// or `refuse`.
 struct forwarder_hooks
 {
     std::function<void(const attempt_order&)> start;
     std::function<void(attempt_id)> cancel;
-    /// Asks an endpoint whether it lives, by a connection; `on_asked` is called with what became of it.
+    /// Probes an endpoint by opening a connection; the result is passed to `on_asked`.
     std::function<void(const endpoint_entry&)> ask;
-    /// Another life has the address: connections that are kept lead to the earlier one.
+    /// The endpoint restarted at the same address: pooled connections lead to the earlier incarnation.
     std::function<void(const endpoint_entry&)> endpoint_restarted = [](const endpoint_entry&) {};
     std::function<void(flow_id, attempt_id)> forward_answer;
     std::function<void(flow_id, attempt_id)> forward_head;
@@ -76,34 +77,35 @@
     std::function<void(flow_id)> forward_end;
     std::function<void(flow_id)> break_off;
     std::function<void(flow_id, const refusal&)> refuse;
-    /// A session of the first part of a roll-out ran: other instances are to know.
+    /// Announces to other instances that a session ran that belongs to the first share of a roll-out.
     std::function<void(const session_run&)> session_ran;
-    /// A prompt was sent to an endpoint: other instances are to know.
+    /// Announces to other instances that a prompt was sent to an endpoint.
     std::function<void(const prompt_sent&)> prompt_went;
-    /// An endpoint began the answer to a prompt: other instances are to know.
+    /// Announces to other instances that an endpoint began to answer a prompt.
     std::function<void(const prompt_answered&)> prompt_came;
-    /// What other instances are to know of endpoints that ended.
+    /// Announces endpoint crashes to other instances.
     std::function<void(const crashes::crash_news&)> crash_seen = [](const auto&) {};
-    /// What other instances are to know of limits that endpoints name; `to` empty: all instances.
+    /// Announces rate limits stated by endpoints to the instances in `to`, or to all if `to` is empty.
     std::function<void(const std::vector<core::instance_id>& to, const std::vector<places::limit_report>&)>
         tell_limits = [](const auto&, const auto&) {};
-    /// Endpoints said that they leave: all other instances are to know.
+    /// Announces to all other instances that endpoints are leaving.
     std::function<void(const leaving_notices&)> tell_leaving = [](const auto&) {};
-    /// This instance has found out that endpoints end under a request; the finding is to outlast it.
+    /// This instance found a request to crash endpoints. The finding is to be stored so that it survives this
+    /// instance.
     std::function<void(crashes::request_fingerprint)> found_harmful = [](auto) {};
     std::function<void(const decision&)> log;
-    /// A request has ended: its account, route and time, for the metrics.
+    /// A request has ended; its account, route and duration feed the metrics.
     std::function<void(const decision&, core::duration)> ended;
 };
 
-/// Counters by what happened.
+/// Event counters of the forwarder.
 struct forwarder_counters
 {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
-    std::uint64_t failed = 0; ///< ended without an answer though it may have run
-    std::uint64_t broken = 0; ///< streams that were cut
+    std::uint64_t failed = 0; ///< requests that ended without an answer but may have run
+    std::uint64_t broken = 0; ///< streams cut after their head was forwarded
     std::uint64_t callers_left = 0;
     std::uint64_t attempts = 0;
     std::uint64_t repeats = 0;
@@ -112,19 +114,19 @@
     std::uint64_t escalated = 0;
     std::uint64_t endpoint_refusals = 0;
     std::uint64_t attempts_lost = 0;
-    std::uint64_t prompts_told = 0;    ///< to other instances
-    std::uint64_t prompts_heard = 0;   ///< of other instances
-    std::uint64_t cold_sends = 0;      ///< to endpoints that were cold
-    std::uint64_t without_place = 0;   ///< refused since no endpoint may be used now
-    std::uint64_t endpoints_ended = 0; ///< seen by broken connections of this instance
-    std::uint64_t suspected = 0;       ///< requests
-    std::uint64_t trials = 0;          ///< of suspected requests
-    std::uint64_t found_harmful = 0;   ///< requests
-    std::uint64_t harmful_refused = 0;
-    std::uint64_t limited_sends = 0;     ///< to endpoints that named a limit
-    std::uint64_t withheld = 0;          ///< sends that lost their place while they connected
-    std::uint64_t waited = 0;            ///< requests that waited for a place
-    std::uint64_t successors_denied = 0; ///< attempts that were waited for since no other might go
+    std::uint64_t prompts_told = 0;      ///< prompts announced to other instances
+    std::uint64_t prompts_heard = 0;     ///< prompts announced by other instances
+    std::uint64_t cold_sends = 0;        ///< sends to cold endpoints
+    std::uint64_t without_place = 0;     ///< requests refused because no endpoint may be used now
+    std::uint64_t endpoints_ended = 0;   ///< endpoint ends that this instance detected itself
+    std::uint64_t suspected = 0;         ///< requests suspected of crashing endpoints
+    std::uint64_t trials = 0;            ///< isolated runs of suspected requests
+    std::uint64_t found_harmful = 0;     ///< requests found to crash endpoints
+    std::uint64_t harmful_refused = 0;   ///< requests refused as harmful
+    std::uint64_t limited_sends = 0;     ///< sends to endpoints with a stated rate limit
+    std::uint64_t withheld = 0;          ///< sends that lost their send slot while connecting
+    std::uint64_t waited = 0;            ///< requests that waited for a send slot
+    std::uint64_t successors_denied = 0; ///< attempts kept because no successor was allowed
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/forwarder_options.hpp
+++ b/include/runlink/routing/forwarder_options.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Parameters of the forwarder and of the decisions that it makes.
+/// Parameters of the forwarder and its components.
 #pragma once
 
 #include <cstdint>
@@ -22,27 +22,27 @@
 /// Parameters of the forwarder.
 struct forwarder_options
 {
-    /// Oldest proof of the configuration with which a request with a key is dispatched. Without it the last
-    /// known configuration holds however old it is: an outage of the store does not become one of the
-    /// service, and a key that is taken away meanwhile admits until the store is heard again.
+    /// Oldest proof that the configuration is current with which a keyed request is dispatched. Without a
+    /// value the last known configuration stays valid at any age: an outage of the store does not become an
+    /// outage of the service, but a key removed meanwhile admits requests until the store is reachable again.
     std::optional<milliseconds> max_key_age = milliseconds{4500};
-    /// A request under way whose key is taken away may be sent again for this long after the key was last
-    /// known to hold: the time within which a removed key must admit nothing, less a margin.
+    /// Time after its key was last known to be valid during which an active request with a removed key may be
+    /// retried: the time within which a removed key must stop admitting requests, less a margin.
     milliseconds key_grace{4500};
-    /// Oldest proof with which an unknown route or key is refused for good.
+    /// Oldest proof of the configuration with which an unknown route or key gets a final 404 or 401.
     milliseconds max_denial_age{1900};
     milliseconds session_ttl{5000};
-    /// Sends of one request, those that endpoints refused included.
+    /// Most sends of one request, including those that endpoints refused.
     std::uint32_t max_sends = 4;
-    /// Connections of one request that did not come up.
+    /// Most attempts of one request of which no byte was sent, such as failed connections.
     std::uint32_t max_unsent = 6;
-    /// Time left below which nothing is sent again.
+    /// Remaining time at or below which a request is neither admitted nor retried.
     milliseconds least_time{20};
-    /// Part of the target latency after which a safe request is sent to a second endpoint as well.
+    /// Fraction of the target latency after which a safe request is hedged at a second endpoint.
     double hedge_after = 0.5;
-    /// Part of the target latency that a stream may take to its first event before it is moved.
+    /// Multiple of the target latency without a stream head after which the stream moves to another endpoint.
     double move_after = 2.0;
-    /// Part of the target gap without an event after which a stream is resumed elsewhere.
+    /// Fraction of the target gap between events after which a stalled stream is resumed at another endpoint.
     double stall_after = 0.9;
     start_queue_options start;
     admission_options admission;
@@ -54,10 +54,10 @@
     cascade_options cascade;
     places::endpoint_bound_options bounds;
     crashes::attribution_options crashes;
-    /// A suspected request waits this long for its turn.
+    /// Longest time that a suspected request waits for its turn to run in isolation.
     milliseconds most_hold{2000};
-    milliseconds hold_interval{20}; ///< between two looks whether a request that waits may go
-    /// Between two looks whether a request may leave an endpoint that has ended.
+    milliseconds hold_interval{20}; ///< between two checks whether a held request may be sent
+    /// Interval between two checks whether attempts at ended endpoints may be replaced.
     milliseconds leave_interval{100};
     places::region_map regions;
 };
--- a/include/runlink/routing/liveness.hpp
+++ b/include/runlink/routing/liveness.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which endpoints were heard of lately, and which should be asked whether they live.
+/// When each endpoint was last heard from, and which endpoints should be probed.
 #pragma once
 
 #include <map>
@@ -9,27 +9,28 @@
 namespace runlink::routing
 {
 
-/// Parameters of the check.
+/// Parameters of the liveness probes.
 struct liveness_options
 {
-    /// Silence of an endpoint, while a request waits there, after which it is asked. Engines that work send
-    /// tokens every 20 to 100 ms, or read a long prompt for about as long as this.
+    /// Silence of an endpoint with a pending request after which the endpoint is probed. Working engines send
+    /// tokens every 20 to 100 ms, or take about this long to read a long prompt.
     milliseconds ask_after{400};
-    milliseconds ask_interval{600}; ///< between two questions to one endpoint
+    milliseconds ask_interval{600}; ///< between two probes of one endpoint
 };
 
-/// Remembers when each endpoint was heard. A question is a bare connection: it is refused or stays unanswered
-/// where the process is gone or the way to it is cut, while an endpoint that only has much to do takes it.
+/// Records when each endpoint was last heard from and last probed. A probe only opens a connection: it is
+/// refused or times out if the process is gone or the network path is cut, while a busy endpoint accepts it.
 class liveness
 {
 public:
     explicit liveness(liveness_options options = {}) : options_{options} {}
 
     void heard(time_point now, const endpoint_id& id) { records_[id].heard = now; }
-    /// Whether to ask now; the question counts as asked.
+    /// Returns whether to probe the endpoint now; if so, records the probe.
     bool try_ask(time_point now, const endpoint_id& id);
     time_point last_heard(const endpoint_id& id) const;
     const liveness_options& options() const { return options_; }
+    /// Removes the records of endpoints that are not in the directory.
     void keep_only(const endpoint_directory& directory);
 
 private:
--- a/include/runlink/routing/messages.hpp
+++ b/include/runlink/routing/messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the forwarder takes and what it orders, free of any transport.
+/// Input and output types of the forwarder, independent of the transport.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
 using core::request_id;
 using core::session_id;
 
-/// A piece of a prompt that requests may share.
+/// A segment of a prompt that several requests may share.
 struct prompt_part
 {
     std::string id;
     std::uint32_t tokens = 0;
 };
 
-/// A caller's request as it arrived.
+/// A caller's request as received.
 struct inbound_request
 {
     request_id id;
@@ -37,20 +37,20 @@
     std::string path;
     crashes::content_hash content;
     std::string key;                ///< empty without one
-    core::milliseconds time_left{}; ///< how long the caller waits, from its arrival
+    core::milliseconds time_left{}; ///< time that the caller waits, counted from arrival
     session_id session;             ///< empty without one
-    model_id model;                 ///< empty where the router chooses
+    model_id model;                 ///< empty if the router chooses the model
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_new_tokens = 0;
     std::uint32_t body_bytes = 0;
-    std::vector<prompt_part> prompt;         ///< in order; the last one is the request's own
-    std::optional<std::uint64_t> last_event; ///< the caller has the stream up to here
+    std::vector<prompt_part> prompt;         ///< in order; the last segment is not shared
+    std::optional<std::uint64_t> last_event; ///< ID of the last stream event that the caller has
 };
 
-/// Names a request inside one instance.
+/// Identifies a request within one instance.
 using flow_id = core::strong_number<struct flow_tag>;
 
-/// Orders the edge to send a request to an endpoint.
+/// Instructs the HTTP edge to send a request to an endpoint.
 struct attempt_order
 {
     attempt_id id{};
@@ -58,50 +58,51 @@
     request_id request;
     endpoint_entry endpoint;
     account_id account; ///< empty on routes without keys
-    model_id model;     ///< empty: as the caller said
+    model_id model;     ///< empty: the model that the caller named
     int priority = 0;
     core::milliseconds time_left{};
     std::optional<std::uint64_t> last_event;
     bool runs_models = false;
-    bool fresh_connection = false; ///< a kept one may be closing: not for what may run only once
+    bool fresh_connection =
+        false; ///< no pooled connection, which may be closing: for requests that may run only once
 };
 
 /// The head of an endpoint's answer.
 struct attempt_head
 {
     int status = 0;
-    bool not_run = false;   ///< the endpoint says that it did not run the request
-    bool is_sealed = false; ///< it carries the endpoint's digest
+    bool not_run = false;   ///< the endpoint states that it did not run the request
+    bool is_sealed = false; ///< carries the endpoint's digest
     bool is_event_stream = false;
-    std::optional<int> confidence; ///< 0 to 100, the model's opinion of its answer
+    std::optional<int> confidence; ///< 0 to 100, the model's confidence in its answer
 };
 
-/// What an endpoint says of itself in the head of an answer.
+/// What an endpoint states about itself in the head of an answer.
 struct endpoint_statement
 {
-    /// Requests a second that it takes from all instances together; nothing: it names no limit.
+    /// Requests per second that the endpoint accepts from all instances together; empty without a limit.
     std::optional<double> requests_per_s;
-    bool is_limit_readable = true; ///< otherwise nothing is known of its limit
+    bool is_limit_readable = true; ///< false: the limit header could not be parsed
     bool is_leaving = false;
     bool is_leaving_readable = true;
-    /// It wants nothing from this instance for so long; it has refused the request.
+    /// The endpoint refused the request and wants no requests from this instance for this long.
     std::optional<core::duration> rest;
     bool is_rest_readable = true;
 };
 
-/// Why an attempt ended without a whole answer.
+/// Why an attempt ended without a complete answer.
 enum class attempt_loss
 {
-    not_sent, ///< the endpoint has no byte of it
-    withheld, ///< the same; it had its connection, and might not be sent any more
-    broken,   ///< the connection or the answer broke; it may have run
+    not_sent, ///< no byte of the request reached the endpoint
+    withheld, ///< not sent either: connected, but sending was no longer permitted
+    broken,   ///< the connection or the answer broke; the request may have run
 };
 
-/// An answer of our own.
+/// An error answer that the router itself sends.
 struct refusal
 {
     int status = 503;
-    bool not_run = true; ///< the request did not run and never will
+    bool not_run = true; ///< the request did not run and will not run later
     core::failure why;
 };
 
--- a/include/runlink/routing/place_queue.hpp
+++ b/include/runlink/routing/place_queue.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Requests that no endpoint may be sent now, and when there is a place for them.
+/// Requests waiting for a send slot at rate-limited endpoints. A send slot is a point in time at which an
+/// endpoint may be sent one more request.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +18,27 @@
 using core::service_id;
 using core::time_point;
 
-/// An endpoint that may be sent to from a time on.
+/// The future send slots of one endpoint.
 struct opening
 {
-    time_point first{};
-    duration interval{}; ///< between two sends after that
+    time_point first{};  ///< earliest slot
+    duration interval{}; ///< between two slots
 };
 
-/// When the request behind `ahead` others finds a place; nothing without any opening.
+/// Returns the time of the slot that is left for a request behind `ahead` others, over all endpoints; nothing
+/// without endpoints.
 std::optional<time_point> place_behind(std::size_t ahead, std::vector<opening> openings);
 
-/// The order in which requests that wait get places: the most urgent first, then the oldest.
+/// The order in which waiting requests get send slots: the most urgent first, then the oldest.
 ///
-/// Answers endpoints that bear only a few requests a second, all of them at once: what fits waits for its
-/// place as long as its answer is not late by that, what does not is told at once when there is one, and
-/// others that are told later times, so that callers do not return together to be refused again.
+/// Handles the case that all endpoints accept only a few requests per second. A request waits for a slot if
+/// the slot comes before the answer would be late. Any other caller is refused at once with a retry time, and
+/// each of these callers gets a later time than the one before, so that they do not retry together and get
+/// refused again.
 class place_queue
 {
 public:
-    /// A request in the order.
+    /// A waiting request.
     struct entry
     {
         int priority = 0; ///< 0 is the most urgent
@@ -47,17 +50,18 @@
 
     void add(const service_id& service, const entry& it) { waiting_[service].insert(it); }
     void remove(const service_id& service, const entry& it);
+    /// Number of requests that get a slot before `it`.
     std::size_t count_before(const service_id& service, const entry& it) const;
-    /// Those before it.
+    /// Requests that get a slot before `it`, in order.
     std::vector<flow_id> before(const service_id& service, const entry& it) const;
     std::size_t size() const;
-    /// The time to which a caller is put off that cannot wait: `first`, or behind those that were put off
-    /// before.
+    /// Returns the time at which a caller that cannot wait is to retry: `first`, or one `interval` after the
+    /// time given to the caller before it.
     time_point assign_return(time_point now, const service_id& service, time_point first, duration interval);
 
 private:
     std::map<service_id, std::set<entry>> waiting_;
-    std::map<service_id, time_point> next_return_; ///< the next caller
+    std::map<service_id, time_point> next_return_; ///< for the next caller
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/request_forwarder.hpp
+++ b/include/runlink/routing/request_forwarder.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The life of each forwarded request, from its arrival to its final word.
+/// The life cycle of each forwarded request, from arrival to the final answer.
 #pragma once
 
 #include <cstdint>
@@ -24,11 +24,11 @@
 namespace runlink::routing
 {
 
-/// Takes requests and what becomes of their attempts, and decides.
+/// Receives requests and the results of their attempts, and decides what is sent where and when.
 ///
-/// A refusal says `not_run` only while no attempt may have run. A request that is not idempotent has one
-/// attempt that may have run at most. A stream goes on at another endpoint only behind its last whole event,
-/// after the attempt before it was cancelled.
+/// A refusal says `not_run` only if no attempt may have run. A request that is not idempotent has at most one
+/// attempt that may have run. A stream is resumed at another endpoint only after its last complete event, and
+/// the attempt before is cancelled before an event of the new one is forwarded.
 class request_forwarder
 {
 public:
@@ -37,69 +37,73 @@
     request_forwarder(const request_forwarder&) = delete;
     request_forwarder& operator=(const request_forwarder&) = delete;
 
-    /// The process has started; requests may wait for the first table for a moment.
+    /// The process has started: requests may wait briefly for the first routing table.
     void begin_start(time_point now) { start_queue_.open(now); }
-    /// The process stood still since then. Requests that are read before `end_wake` may have come at any time
-    /// in between: their deadlines count from its beginning, so that none is sent on after its caller's.
+    /// The process was suspended from `since` to `now`. Requests that are read before `end_wake` may have
+    /// arrived at any time in between, so their deadlines count from `since`: no request is forwarded after
+    /// its caller's deadline.
     void on_wake(time_point now, time_point since);
     void end_wake() { paused_since_.reset(); }
-    /// A newer table is in force.
+    /// Makes a newer routing table current.
     void apply(routing_table_ptr table);
     const routing_table_ptr& table() const { return table_; }
-    /// A call that was sent at this time proved the table to be the newest.
+    /// A store call sent at `sent_at` proved that the routing table is current.
     void proven_current(time_point sent_at);
-    /// Age of the proof, if there is one.
+    /// Time since the table was last proven to be current; nothing without a proof.
     std::optional<core::duration> proof_age(time_point now) const;
 
-    /// An entry of the store.
+    /// Processes an endpoint entry of the store.
     endpoint_directory::change on_endpoint(time_point now, const endpoint_entry& it);
-    /// All entries that can be read; what is missing is gone, and at once where its entry cannot be read.
+    /// Processes the complete list of readable entries. Endpoints that are missing from it are removed; those
+    /// in `unreadable`, whose entries could not be parsed, are removed at once.
     void on_endpoints(time_point now, const std::vector<endpoint_entry>& all,
                       const std::vector<endpoint_name>& unreadable);
-    /// An operator's order to send nothing to a failure domain, and its end.
+    /// An operator evacuated a failure domain (nothing is sent there) or readmitted it.
     void on_evacuated(const failure_domain_id& domain);
     void on_readmitted(time_point now, const failure_domain_id& domain);
-    /// All orders that stand.
+    /// The complete set of evacuated failure domains.
     void on_evacuations(time_point now, const std::set<failure_domain_id>& all);
-    /// What endpoints bear, and which instances send to those that bear little.
+    /// Limits on what endpoints accept, and which instances send to endpoints that accept little.
     places::endpoint_bounds& bounds() { return bounds_; }
     const places::endpoint_bounds& bounds() const { return bounds_; }
     const places::evacuations& evacuated() const { return evacuations_; }
     endpoint_directory& endpoints() { return endpoints_; }
     const endpoint_directory& endpoints() const { return endpoints_; }
     rollout_control& rollouts() { return rollouts_; }
-    /// An operator's order to roll out a version, written to the store at that time.
+    /// An operator's order to roll out a version, written to the store at `written_at`.
     void on_order(time_point now, const rollout_order& order, time_point written_at);
 
-    /// The process ends at `end`. From `closed_from` on only requests are taken that are over by then.
+    /// The process ends at `end`. From `closed_from` on, only requests with a deadline up to `end` are
+    /// accepted.
     void begin_stop(time_point closed_from, time_point end) { stop_ = stop_times{closed_from, end}; }
 
     void on_request(time_point now, flow_id id, inbound_request request);
     void on_caller_left(time_point now, flow_id id);
 
-    /// The attempt's connection has come up: whether its bytes may still leave.
+    /// The attempt is connected. Returns whether its request may still be written.
     bool may_write(time_point now, attempt_id id);
-    /// Bytes of the attempt may have left.
+    /// Bytes of the attempt's request may have been sent, so the request may run.
     void on_sent(time_point now, attempt_id id);
-    /// A whole answer that is not a stream. The edge keeps it.
+    /// A complete answer that is not a stream. The HTTP edge holds it until `forward_answer`.
     void on_answer(time_point now, attempt_id id, const attempt_head& head);
     void on_stream_head(time_point now, attempt_id id, const attempt_head& head);
-    /// One whole event.
+    /// One complete stream event.
     void on_stream_event(time_point now, attempt_id id, std::string_view event,
                          std::optional<std::uint64_t> event_id);
     void on_stream_end(time_point now, attempt_id id);
     void on_lost(time_point now, attempt_id id, attempt_loss loss);
 
-    /// What an endpoint says of itself in the answer to a request that was sent at `asked_at`, also where
-    /// nobody waits for that answer any more.
+    /// Processes what an endpoint states about itself in the answer to a request sent at `asked_at`, even if
+    /// the caller no longer waits for that answer.
     void on_statement(time_point now, const endpoint_id& id, time_point asked_at,
                       const endpoint_statement& it);
-    /// Another instance heard endpoints say that they leave.
+    /// Another instance reports endpoints that stated that they are leaving.
     void on_leaving_told(time_point now, const leaving_notices& it);
-    /// All endpoints that are known to leave by their own word, for an instance that starts.
+    /// All endpoints known to have stated that they are leaving, for an instance that starts.
     leaving_notices leaving_endpoints(time_point now) const;
-    /// Another instance's news of endpoints that name limits.
+    /// Another instance reports rate limits stated by endpoints.
     void on_limits_told(time_point now, const places::limit_reports& it);
+    /// The result of a probe started by `forwarder_hooks::ask`.
     void on_asked(time_point now, const endpoint_id& id, core::contact what);
     /// A session ran at another instance.
     void on_peer_run(time_point now, const session_run& it) { pins_.ran(now, it.session, it.version); }
@@ -117,31 +121,32 @@
         chooser_.placement().on_peer_answered(now, it);
     }
 
-    /// Prompts that instances of other failure domains sent.
+    /// Prompts sent by instances of other failure domains.
     void on_far_loads(time_point now, const load_digest& it) { chooser_.placement().on_far_loads(now, it); }
-    /// Prompts that instances of the own failure domain sent.
+    /// Prompts sent by instances of this instance's failure domain.
     load_digest near_loads(time_point now, milliseconds least) const
     {
         return chooser_.placement().near_loads(now, least);
     }
 
-    /// Other instances saw endpoints end.
+    /// Another instance reports crashed endpoints.
     void on_crash_news(time_point now, const crashes::crash_news& it);
     crashes::crash_attribution& attribution() { return attribution_; }
     const crashes::crash_attribution& attribution() const { return attribution_; }
 
-    /// Does what is due.
+    /// Runs everything that is due at `now`.
     void tick(time_point now);
-    /// Forgets what nobody asks for any more; about once a second.
+    /// Drops expired state. To be called about once per second.
     void keep_house(time_point now);
     std::optional<time_point> next_due() const;
 
     std::size_t active_count() const { return flows_.size() + start_queue_.size(); }
-    /// Requests under way whose key the table in force has no more.
+    /// Number of active requests whose API key is not in the current table.
     std::size_t count_without_key() const;
     const forwarder_counters& counters() const { return counters_; }
 
 private:
+    /// An active request.
     struct flow
     {
         flow_id id{};
@@ -152,98 +157,106 @@
         service_id service;
         account_id account;
         const routing::account* owner = nullptr; ///< in `table`; null without a key
-        /// When the key was last known to hold, if the table in force has it no more.
+        /// When the key was last known to be valid, if the current table lacks it.
         std::optional<time_point> key_held_at;
         int priority = 0;
-        session_hash session;            ///< or hash of the request without one
-        std::uint64_t shared_parts = 0;  ///< hash of the prompt parts that requests share
-        std::uint32_t shared_tokens = 0; ///< of these parts
+        session_hash session;            ///< hash of the session, or of the request ID without a session
+        std::uint64_t shared_parts = 0;  ///< hash of the prompt parts shared between requests
+        std::uint32_t shared_tokens = 0; ///< tokens of these parts
         time_point arrived{};
         time_point deadline{};
         std::set<attempt_id> attempts;
         std::set<endpoint_id> tried;
-        std::size_t size = 0; ///< index of the model
+        std::size_t size = 0; ///< index into the route's `model_sizes`
         std::uint32_t sends = 0;
-        std::uint32_t unsent = 0; ///< of the sends: the connection did not come up
+        std::uint32_t unsent = 0; ///< sends of which no byte was sent
         std::uint32_t runs = 0;   ///< attempts that may have run
         bool head_forwarded = false;
         bool hedged = false;
-        std::optional<time_point> held_since; ///< it waits for its turn to be tried alone, or for a place
+        std::optional<time_point> held_since; ///< start of the wait for an isolated run or a send slot
         bool waits_for_place = false;
-        /// What spoke against another attempt since the latest one was sent.
+        /// Why no further attempt was allowed, since the latest one was sent.
         std::optional<succession_denial> denied;
         std::optional<std::uint64_t> last_event;
         time_point last_progress{};
-        time_point not_moved_at{}; ///< it was looked whether it may be moved, and it might not
-        time_point check_at{};
-        time_point ask_at{}; ///< when its silent endpoint is asked whether it lives
-        /// When it is looked again whether it may leave an endpoint that has ended.
+        time_point not_moved_at{}; ///< when a move was last denied
+        time_point check_at{};     ///< the time in `timers_`
+        time_point ask_at{};       ///< when its endpoint is probed if it stays silent
+        /// When to check again whether attempts at ended endpoints may be replaced.
         std::optional<time_point> leave_at;
     };
+    /// One send of a request to an endpoint.
     struct attempt
     {
         flow_id flow{};
         endpoint_id endpoint;
-        endpoint_name name; ///< of the endpoint
+        endpoint_name name; ///< endpoint name
         version_id version;
         model_id model;
-        std::uint32_t number = 0;
+        std::uint32_t number = 0; ///< counts the sends of the request, from 1
         bool may_have_run = false;
-        std::optional<placed_prompt> prompt; ///< while it is not read
+        std::optional<placed_prompt> prompt; ///< set until the endpoint has read the prompt
         time_point started{};
-        duration expected{}; ///< to the first byte, by what waits and is to be read; 0: not known
+        duration expected{}; ///< estimated time to the first byte, from backlog and prompt; 0: unknown
         bool has_head = false;
         std::optional<time_point> first_event;
         std::uint32_t events = 0;
-        answer_counts counted;   ///< of it, in the judgement of versions
-        bool is_trial = false;   ///< the request is suspected, and no other copy runs
-        bool has_ended = false;  ///< its endpoint, as far as is known
-        bool is_stalled = false; ///< a successor was looked for, since it made no progress
+        answer_counts counted;   ///< what was already counted in the version statistics
+        bool is_trial = false;   ///< isolated run of a suspected request
+        bool has_ended = false;  ///< the endpoint has ended, as far as is known
+        bool is_stalled = false; ///< a successor was sought because the attempt made no progress
     };
 
     // Arrival
-    /// Whether a table is there by which requests may be admitted.
+    /// Whether there is a routing table by which requests may be admitted.
     bool is_started(time_point now) const;
+    /// Admits the request and sends its first attempt, holds it, or refuses it.
     void take(time_point now, time_point arrived, flow_id id, inbound_request request);
+    /// Processes requests of the start queue that are ready or due.
     void take_held(time_point now);
+    /// Returns the refusal if the request cannot be admitted.
     std::optional<refusal> admit(time_point now, flow& it);
     std::optional<refusal> check_key(time_point now, flow& it);
+    /// Chooses the service of the request and derives its session and prompt hashes.
     void place(flow& it) const;
-    /// What is expected of the request's prompt at the endpoint where it would go now, if it has one.
+    /// Expected wait and read time of the request's prompt at the endpoint that it would be sent to now;
+    /// nothing without a prompt or an endpoint.
     std::optional<placed_prompt> expect(time_point now, const flow& it) const;
-    /// When a caller that is refused now is to come back.
+    /// The retry delay for a caller that is refused now.
     milliseconds retry_after(time_point now, const flow& it) const;
+    /// Whether the table was proven to be current within `max_age`.
     bool is_fresh(time_point now, milliseconds max_age) const;
-    /// Whether keys of the table in force may admit requests.
+    /// Whether the current table is proven recently enough for its API keys to admit requests.
     bool keys_hold(time_point now) const;
 
     // Endpoints
-    /// Empty for one that is not listed.
+    /// Returns an empty ID for an endpoint that is not listed.
     failure_domain_id domain_of(const endpoint_id& id) const;
     /// Whether the request may go to the endpoint now.
     bool may_use(time_point now, const flow& it, const endpoint_entry& to) const;
-    /// Whether the declarations allow it, and no order forbids it.
+    /// Whether the regions of route and client account allow the endpoint and its failure domain is not
+    /// evacuated.
     bool is_allowed(const flow& it, const endpoint_entry& to) const;
-    /// Until an endpoint may be used that bears nothing more now.
+    /// Time until the first allowed endpoint may be sent a request again.
     duration time_to_place(time_point now, const flow& it) const;
-    /// Whether a more urgent request, or an older one, waits for a place there.
+    /// Whether a more urgent or an older request waits for a send slot at the endpoint.
     bool is_outranked(const flow& it, const endpoint_entry& at) const;
-    /// Whose next send to an endpoint is meant.
+    /// Whose next send to an endpoint is considered.
     enum class sender
     {
         self,
-        any, ///< a caller that is refused comes back to whichever instance
+        any, ///< a refused caller may retry at any instance
     };
-    /// Endpoints that would fit had they not said that they bear little.
+    /// Send slots of the endpoints that are suitable but restricted by their own statements.
     std::vector<opening> openings(time_point now, const flow& it, sender whose) const;
-    /// Whether the request has a place before its answer would be late.
+    /// Whether the request gets a send slot before its answer would be late.
     bool may_wait(time_point now, const flow& it) const;
     void wait_for_place(time_point now, flow& it);
-    /// When the caller of a request without a place is to come back.
+    /// The retry delay for the caller of a request without a send slot.
     milliseconds return_time(time_point now, const flow& it);
     void end_wait(flow& it);
     static place_queue::entry place_of(const flow& it) { return {it.priority, it.arrived, it.id}; }
-    /// Tells other instances what is due.
+    /// Announces changed limits that are due to other instances.
     void tell_limits(time_point now);
     void mark_leaving(time_point now, const endpoint_id& id, milliseconds age, std::string_view source);
     leaving_notice notice_of(time_point now, const endpoint_id& id) const;
@@ -253,26 +266,33 @@
     void log_limit(const endpoint_id& id, places::limit_change what, std::string_view source,
                    milliseconds age);
     void readmit(time_point now, const failure_domain_id& domain);
+    /// Treats the endpoint as possibly cold.
     void suspect(time_point now, const endpoint_entry& it, places::cold_reason why);
     void suspect_unreachable(time_point now, const endpoint_id& id);
     void log_cold(time_point now, const endpoint_entry& it, places::cold_reason why);
 
-    // Requests under which endpoints end
+    // Requests that crash endpoints
     crashes::crash_attribution::hooks attribution_hooks();
-    /// Waits for the request's turn to be tried.
+    /// Holds the request; `release` checks it again every `hold_interval`.
     void hold(time_point now, flow& it);
+    /// Checks whether a held request may be sent, waits on or is refused.
     void release(time_point now, flow& it);
     std::vector<flow_id> flows_of(crashes::request_fingerprint it) const;
-    /// Does what news of requests ask for. Not from within the attribution's calls: an attempt or a flow that
-    /// is being worked on may be among those that are to end.
+    /// Acts on requests that became suspected or were found harmful. Must not be called from the callbacks of
+    /// the attribution, because this may end the attempt or flow that is being processed.
     void settle_verdicts(time_point now);
+    /// Cancels attempts of a suspected request that were sent before the suspicion, and holds their flows.
     void withdraw_copies(time_point now, crashes::request_fingerprint it);
+    /// Ends the flows of a request that was found harmful.
     void end_copies(time_point now, crashes::request_fingerprint it);
-    /// Whether the request's answer has begun, or an attempt may run only once and may have begun.
+    /// Whether the request's answer has begun, or it may run only once and may have begun to run.
     bool is_beyond_verdict(const flow& it) const;
-    /// Where a suspected request cuts the least, and where others do not meet one.
+    /// Narrows `need` so that an isolated run goes to an endpoint with the fewest other requests, and other
+    /// requests avoid endpoints with an isolated run.
     void keep_apart(time_point now, endpoint_need& need, bool is_trial) const;
-    /// Whether the endpoint ended is asked at once: all that it ran is cut, and one request may be the cause.
+    /// Reports a broken connection to the crash attribution. With `asks_endpoint`, probes the endpoint at
+    /// once to find out whether it has ended: then all its requests are cut, and one of them may be the
+    /// cause.
     void note_broken(time_point now, const flow& it, const attempt& from, bool asks_endpoint);
     void on_endpoint_ended(time_point now, crashes::endpoint_life it);
     void note_ended(time_point now, const endpoint_id& id, std::string_view how);
@@ -280,56 +300,59 @@
                          std::string_view reason);
 
     // Attempts
-    /// Whether it leaves by its own word, and is not even used where nothing else fits any more.
+    /// Whether the endpoint stated that it is leaving and may not be used even as a last resort.
     bool has_left(time_point now, const endpoint_id& id) const;
-    /// Whether the request's client account has its key there.
+    /// Whether `table` has the request's key, for the same client account.
     static bool has_key(const routing_table& table, const flow& it);
     key_standing key_of(time_point now, const flow& it) const;
-    /// Since the key was last known to hold; negative while the table in force has it.
+    /// Time since the key was last known to be valid; -1 ms while the current table has it.
     milliseconds key_gone_for(time_point now, const flow& it) const;
     void send(time_point now, flow& it, const successor& to);
     void log_dispatched(time_point now, const flow& it, const attempt_order& order, const attempt& as);
     endpoint_need need_of(time_point now, const flow& it) const;
-    /// The model that the request's next attempt asks for; empty where the caller named it.
+    /// The model that the next attempt asks for; empty if the caller named the model or the route has none.
     model_id model_of(const flow& it) const;
     std::optional<placed_prompt> place_prompt(time_point now, const endpoint_entry& to,
                                               const std::optional<prompt_need>& need);
     void prompt_read(time_point now, attempt& it);
 
-    // Succession: an attempt that may still be answered is given up only in the step in which its successor
-    // goes. Without one it is waited for.
-    /// Whether the request may go on as a suspect that is tried, or at all.
+    // Succession: an attempt that may still be answered is cancelled only in the step that sends its
+    // successor. Without a successor the attempt is kept.
+
+    /// Whether the request's content may run freely, only in isolation, not now, or not at all.
     crashes::permission content_of(time_point now, const flow& it) const;
     succession_input input_of(time_point now, const flow& it, bool costs_allowance);
+    /// Plans the next attempt without sending it.
     succession plan(time_point now, const flow& it, bool costs_allowance);
-    /// Sends what was planned in this step.
+    /// Sends a successor that was planned in this step, as a retry.
     void repeat(time_point now, flow& it, const successor& to, bool costs_allowance);
-    /// Gives up an attempt for its successor, or tells what speaks against one.
+    /// Replaces an attempt by its successor, or returns the reason against a successor.
     std::optional<succession_denial> try_replace(time_point now, attempt_id id);
-    /// An attempt that will hardly be answered. `has_ended`: its endpoint, as far as is known.
+    /// Tries to replace an attempt that is unlikely to be answered. `has_ended`: the endpoint has ended, as
+    /// far as is known.
     void replace(time_point now, attempt_id id, bool has_ended);
-    /// Looks again whether attempts whose endpoints have ended may be replaced.
+    /// Checks again whether attempts at ended endpoints may be replaced.
     void leave_ended(time_point now, flow& it);
-    /// Nothing of the request is under way: sends it again, or ends it for the reason.
+    /// If no attempt is active: retries the request, holds it, or ends it with the error `why`.
     void again_or_end(time_point now, flow& it, core::errc why, bool costs_allowance);
     void note_denied(time_point now, flow& it, succession_denial why, std::string_view event);
-    /// Adds what the denial was decided by.
+    /// Adds the inputs of the denial to the log record.
     void describe_denial(time_point now, const flow& it, decision& to);
     void note_lost(time_point now, attempt_id id, attempt_loss loss);
     std::optional<attempt> take_attempt(time_point now, attempt_id id);
     void cancel_attempts(time_point now, flow& it);
-    /// Of a stream and its successor one goes on: the one that this attempt is.
+    /// Cancels all attempts of the request except `but`.
     void cancel_others(time_point now, flow& it, attempt_id but);
-    /// Notes the version of a session's latest run.
+    /// Records the version of a session's latest run.
     void pin(time_point now, const flow& it, const version_id& version);
     version_sample sample_of(const flow& it, const attempt& from) const;
     void sample_head(time_point now, const flow& it, attempt& from);
     void sample_end(time_point now, const flow& it, attempt& from, bool is_bad);
-    /// An attempt that nobody waits for any more. Without a first byte it says how long that takes at least:
-    /// a version of which 30 % of the answers never came was declared good while these were not counted.
+    /// Samples an abandoned attempt. Without a first byte, its age is a lower bound of the time to the first
+    /// byte. Without these samples a version that never answered 30 % of its requests was rated good.
     void sample_given_up(time_point now, const flow& it, attempt& from, bool is_stalled);
     cascade_input cascade_input_of(time_point now, const flow& it, int confidence, const succession& larger);
-    /// Asks the largest model where the answer is not sure enough. Returns whether it does.
+    /// Retries at a larger model if the confidence of the answer is too low. Returns whether it does.
     bool try_escalate(time_point now, flow& it, attempt_id from, int confidence);
 
     // Endings
@@ -342,13 +365,14 @@
     time_point next_check(const flow& it) const;
     void check(time_point now, flow& it);
     void hedge(time_point now, flow& it);
-    /// Sends a stream without progress to another endpoint.
+    /// Moves a stream without progress to another endpoint, but keeps the last attempt in reserve.
     void move(time_point now, flow& it);
-    /// The same, with its last attempt as well.
+    /// Like `move`, but may use the last attempt.
     void move_with_last_attempt(time_point now, flow& it);
-    /// Whether a stream's attempt is kept until its successor answers: only where a run begins with its
-    /// answer, so that two runs do not work side by side.
+    /// Whether a stream's attempt is kept until its successor answers: only if the service's run begins with
+    /// its answer, so that two runs are not active at the same time.
     bool keeps_until_answered(const flow& it) const;
+    /// Probes the silent endpoints of the request.
     void ask_endpoints(time_point now, flow& it);
     void replace_silent_attempts(time_point now, const endpoint_id& id, bool has_ended);
     void replace_earlier_life(time_point now, const endpoint_entry& it);
@@ -373,15 +397,15 @@
     repeated_news<endpoint_id> leaving_news_;
     places::evacuations evacuations_;
     crashes::crash_attribution attribution_;
-    std::vector<crashes::request_fingerprint> suspected_; ///< their copies are to be withdrawn
-    std::vector<crashes::request_fingerprint> condemned_; ///< their copies are to end
+    std::vector<crashes::request_fingerprint> suspected_; ///< requests whose copies are to be withdrawn
+    std::vector<crashes::request_fingerprint> condemned_; ///< requests whose copies are to be ended
     rollout_control rollouts_;
     session_pins pins_;
     cascade_policy cascade_;
     admission admission_;
     start_queue start_queue_;
     std::optional<time_point> paused_since_;
-    bool may_release_ = false; ///< held requests may be decided on
+    bool may_release_ = false; ///< the start queue may be processed: table or proof is new
     std::map<service_id, retry_allowance> retries_;
     std::map<flow_id, flow> flows_;
     std::map<attempt_id, attempt> attempts_;
--- a/include/runlink/routing/retry_allowance.hpp
+++ b/include/runlink/routing/retry_allowance.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bound on repeated dispatches, kept by each instance without agreement.
+/// Retry budget that each instance enforces without coordination.
 #pragma once
 
 #include <array>
@@ -11,33 +11,35 @@
 namespace runlink::routing
 {
 
-/// Parameters of the allowance of one service.
+/// Parameters of the retry budget of one service.
 struct retry_options
 {
     core::seconds window{10};
-    /// Repeats for each first dispatch, below the deployment's ratio so that the sum of all instances holds.
+    /// Retries for each first dispatch; below the deployment's ratio, so that the sum over all instances
+    /// keeps it.
     double ratio = 0.8;
-    /// Repeats allowed without any first dispatch: this instance's part of the deployment's slack.
+    /// Retries allowed without any first dispatch: this instance's share of the deployment's slack.
     double slack = 3;
 };
 
-/// Counts first dispatches and repeats over a sliding window of buckets. As each instance keeps its own
-/// repeats below a share of its own requests, the sum over all instances stays below the same share.
+/// Counts first dispatches and retries over a sliding window of buckets. Each instance keeps its own retries
+/// below a ratio of its own requests, so the sum over all instances stays below the same ratio.
 class retry_allowance
 {
 public:
     explicit retry_allowance(retry_options options = {}) : options_{options} {}
 
     void on_first(core::time_point now);
-    /// Takes a repeat if one is left.
+    /// Consumes one retry. Returns false if none is left.
     bool try_take(core::time_point now);
+    /// Retries left in the window; may be negative.
     double left(core::time_point now);
 
 private:
     static constexpr std::size_t bucket_count = 10;
     struct bucket
     {
-        std::int64_t number = -1; ///< of the span of time that it counts
+        std::int64_t number = -1; ///< index of the time span that the bucket counts; -1: unused
         std::uint32_t firsts = 0;
         std::uint32_t repeats = 0;
     };
--- a/include/runlink/routing/start_queue.hpp
+++ b/include/runlink/routing/start_queue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that come before a process has its first configuration.
+/// Requests that arrive before the process has its first configuration.
 #pragma once
 
 #include <cstddef>
@@ -15,39 +15,46 @@
 /// Parameters of the queue.
 struct start_queue_options
 {
-    /// After the start of the process; one that has no configuration by then has none for long, and says so.
+    /// Time after the start of the process during which requests are queued. A process without configuration
+    /// by then is unlikely to get one soon and refuses requests.
     milliseconds patience{1500};
-    /// Longest wait of one request. A start takes half of it; above, the caller is better off elsewhere.
+    /// Longest wait of one request. A start takes about half of it; after a longer wait the caller does
+    /// better at another instance.
     milliseconds longest_wait{700};
-    /// Part of the time that a caller allows, so that a refusal still leaves it time for another instance.
+    /// Fraction of the caller's remaining time that a request may wait, so that after a refusal there is time
+    /// left for another instance.
     double part_of_time_left = 0.3;
-    std::size_t most = 256; ///< requests; a small instance gets a few in this time
+    std::size_t most = 256; ///< most queued requests; a small instance receives only a few in this time
 };
 
-/// Answers the first moments after many instances have lost power: the balancer sends callers to processes
-/// that are about to have their configuration. Each caller that is refused then comes back a moment later
-/// and spends a retry on it. Held requests are decided on as soon as the configuration is proven: 120 ms to
-/// 500 ms later in a start of 295 instances (time between `started` and `listed` in their logs).
+/// Queues requests while a process waits for its first configuration. When many instances restart after a
+/// power loss, the load balancer sends callers to processes that get their configuration a moment later; a
+/// refused caller would spend a retry on the wait. Queued requests are processed as soon as the configuration
+/// is proven to be current: 120 ms to 500 ms later in a start of 295 instances (time between `started` and
+/// `listed` in their logs).
 class start_queue
 {
 public:
     explicit start_queue(start_queue_options options = {}) : options_{options} {}
 
+    /// A queued request.
     struct held
     {
         flow_id id{};
         time_point arrived{};
-        time_point due{}; ///< it is refused then
+        time_point due{}; ///< end of the wait
         inbound_request request;
     };
 
-    /// The process has started, or goes on after it stood still.
+    /// The process has started, or resumes after a suspension.
     void open(time_point now) { open_until_ = now + options_.patience; }
-    /// Takes the request if waiting may help. Returns whether it did.
+    /// Queues the request and returns true, or returns false if the queue is closed or full.
     bool try_hold(time_point now, time_point arrived, flow_id id, inbound_request& request);
-    /// The caller has left. Returns whether its request was here.
+    /// Removes the request of a caller that has left. Returns whether it was queued.
     bool drop(flow_id id);
+    /// Removes and returns all requests.
     std::vector<held> take_all();
+    /// Removes and returns the requests whose wait is over.
     std::vector<held> take_due(time_point now);
     std::optional<time_point> next_due() const;
     std::size_t size() const { return queue_.size(); }
--- a/include/runlink/routing/succession.hpp
+++ b/include/runlink/routing/succession.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether another attempt of a request may be sent now, and what speaks against it.
+/// Whether another attempt of a request (its successor) may be sent now, and if not, why.
 #pragma once
 
 #include <cstdint>
@@ -16,64 +16,64 @@
 namespace runlink::routing
 {
 
-/// What is known of a request's key.
+/// What is known about a request's API key.
 enum class key_standing
 {
-    holds,    ///< or none is needed
-    in_grace, ///< it is gone, and was known to hold a moment ago
-    removed,
-    unproven, ///< the table has it, and no proof is new enough
+    holds,    ///< valid, or no key is needed
+    in_grace, ///< removed, but known to be valid within the grace period
+    removed,  ///< removed for longer than the grace period
+    unproven, ///< in the table, but the proof that the table is current is too old
 };
 
-/// What speaks against another attempt.
+/// Why another attempt may not be sent.
 enum class succession_denial
 {
-    may_run_once,    ///< an attempt may have run, and no other may
-    attempts_spent,  ///< of the route, or sends of one request
-    last_attempt,    ///< it is kept for a loss
-    time_spent,      ///< too little is left
-    key_removed,     ///< for longer than its grace
-    proof_too_old,   ///< of the key
-    harmful,         ///< endpoints end under requests of its content
-    allowance_spent, ///< repeats of the service
-    suspected,       ///< its content waits for its turn to be tried
-    no_endpoint,     ///< that fits
+    may_run_once,    ///< the request may run only once, and an attempt may have run
+    attempts_spent,  ///< the route's attempts or the sends of one request are used up
+    last_attempt,    ///< the last attempt is reserved for a broken connection
+    time_spent,      ///< too little time is left
+    key_removed,     ///< the key was removed longer ago than its grace period
+    proof_too_old,   ///< the proof that the key is valid is too old
+    harmful,         ///< requests of the same content crash endpoints
+    allowance_spent, ///< the service's retry allowance is used up
+    suspected,       ///< the content is suspected and waits for its isolated run
+    no_endpoint,     ///< no suitable endpoint
 };
 
-/// The public name of a denial, such as `key_removed`.
+/// Returns the name used in the structured log, such as `key_removed`.
 std::string_view to_string(succession_denial it);
 
-/// Whether it may pass by itself while the request has time.
+/// Whether the denial may end by itself before the request's deadline.
 bool passes(succession_denial it);
 
-/// What the decision looks at, but for the endpoint.
+/// Inputs of the decision, except the choice of an endpoint.
 struct succession_input
 {
-    bool may_repeat = true; ///< it is idempotent, or no attempt may have run
-    std::uint32_t runs_left = 1;
-    std::uint32_t sends_left = 1;
+    bool may_repeat = true;       ///< the request is idempotent, or no attempt may have run
+    std::uint32_t runs_left = 1;  ///< attempts that may run
+    std::uint32_t sends_left = 1; ///< attempts of any outcome
     core::duration time_left{};
-    core::milliseconds least_time{};
+    core::milliseconds least_time{}; ///< no attempt is sent with this time left or less
     key_standing key = key_standing::holds;
     crashes::permission content = crashes::permission::free;
-    bool costs_allowance = true;
-    double allowance_left = 1; ///< repeats
+    bool costs_allowance = true; ///< the attempt counts as a retry
+    double allowance_left = 1;   ///< retries left
 };
 
-/// The first thing that speaks against another attempt, if there is one. `suspected` passes by itself, and
-/// comes behind all that does not.
+/// Returns the first reason against another attempt, if there is one. `suspected` ends by itself, so it is
+/// checked last and does not hide a permanent reason.
 std::optional<succession_denial> judge(const succession_input& it);
 
-/// Another attempt that is certain to go: nothing that it needs can fail before the event that planned it is
-/// over.
+/// A planned attempt that can certainly be sent: nothing that it needs can become unavailable while the event
+/// that planned it is being handled.
 struct successor
 {
     const endpoint_entry* endpoint = nullptr;
     std::optional<prompt_need> prompt;
-    bool is_trial = false; ///< its content is suspected, and no other copy runs
+    bool is_trial = false; ///< isolated run of suspected content
 };
 
-/// A successor, or what speaks against one.
+/// A successor, or the reason against one.
 using succession = boost::outcome_v2::checked<successor, succession_denial>;
 
 } // namespace runlink::routing
--- a/src/runlink/routing/harmful_request_test.cpp
+++ b/src/runlink/routing/harmful_request_test.cpp
@@ -11,9 +11,9 @@
 {
 
 const core::service_id service_name{"s"};
-constexpr milliseconds turn{400}; ///< a suspect's turn has come by then
+constexpr milliseconds turn{400}; ///< within this time a suspected request gets its isolated run
 
-/// One instance before some endpoints.
+/// A forwarder of one instance with several endpoints and a simulated clock.
 struct forwarder_under_test
 {
     time_point now{core::seconds{100}};
@@ -95,7 +95,7 @@
         it.on_request(now, flow_id{flow}, in);
     }
 
-    /// The latest attempt runs, and its connection breaks.
+    /// Runs the latest attempt and breaks its connection.
     void run_and_break()
     {
         const auto id = starts.back().id;
@@ -104,7 +104,7 @@
         it.on_lost(now, id, attempt_loss::broken);
     }
 
-    /// The same, and its endpoint has ended.
+    /// Like `run_and_break`, but the endpoint has also ended.
     void run_and_end()
     {
         const auto at = starts.back().endpoint.id;
@@ -121,10 +121,10 @@
 
 } // namespace
 
-// Instances ended by themselves: a loss that made its request a suspect withdrew the attempt that was just
-// being lost, and what was left of it was read afterwards. It took an endpoint that another instance had
-// already told to have ended.
-TEST_CASE("a request becomes a suspect by the loss of its own attempt")
+// Guards against a use after free that crashed instances: a loss that made its own request suspected withdrew
+// the attempt that was being processed. It needs an endpoint that another instance has already reported as
+// ended.
+TEST_CASE("a request becomes suspected by the loss of its own attempt")
 {
     forwarder_under_test by{5};
     by.request(1);
@@ -133,13 +133,13 @@
     const auto second = by.starts.back().endpoint.id;
     by.it.on_crash_news(by.now, {{{crashes::life_hash(second), {}}}, {}, {}});
     by.run_and_break();
-    CHECK(by.starts.size() == 2); // it waits for its turn
+    CHECK(by.starts.size() == 2); // held until its isolated run
     by.pass(turn);
     CHECK(by.starts.size() == 3);
     CHECK(by.refusals.empty());
 }
 
-TEST_CASE("two attempts of a suspect at an endpoint that started again are both withdrawn")
+TEST_CASE("two attempts of a suspected request at a restarted endpoint are both withdrawn")
 {
     forwarder_under_test by{1};
     by.request(1);
@@ -153,7 +153,7 @@
     CHECK(by.refusals.empty());
 }
 
-TEST_CASE("a harmful request is refused at once, and truthfully, at every instance that heard of it")
+TEST_CASE("a request found harmful is refused at once, and the refusal says whether it ran")
 {
     forwarder_under_test by{6};
     by.request(1);
@@ -166,7 +166,7 @@
     CHECK(by.found == std::vector{fingerprint()});
     REQUIRE(by.refusals.size() == 1);
     CHECK(by.refusals.back().why.code == core::errc::request_harmful);
-    CHECK_FALSE(by.refusals.back().not_run); // this try ran at three endpoints
+    CHECK_FALSE(by.refusals.back().not_run); // this request ran at three endpoints
     by.request(2);
     REQUIRE(by.refusals.size() == 2);
     CHECK(by.refusals.back().not_run);
@@ -175,7 +175,7 @@
     CHECK(by.starts.size() == 3);
 }
 
-TEST_CASE("copies that wait at endpoints when their request becomes a suspect are withdrawn")
+TEST_CASE("copies queued at endpoints are withdrawn when their request becomes suspected")
 {
     forwarder_under_test by{6};
     by.request(1);
@@ -191,7 +191,8 @@
     CHECK(by.starts.size() == 3); // one copy at a time
 }
 
-TEST_CASE("nothing else goes to an endpoint that runs a suspect, unless there is no other")
+TEST_CASE(
+    "no other request is sent to an endpoint that runs a suspected one, unless there is no other endpoint")
 {
     forwarder_under_test by{2};
     const auto at = forwarder_under_test::entry_of(1, 1).id;
@@ -218,7 +219,7 @@
     CHECK(by.starts.back().endpoint.id == at);
 }
 
-TEST_CASE("the end of a resumed stream without an event of its own clears no suspect")
+TEST_CASE("the end of a resumed stream without an event of its own does not clear a suspected request")
 {
     forwarder_under_test by{6};
     by.request(1);
@@ -232,9 +233,9 @@
     CHECK(by.it.attribution().standing_of(by.now, fingerprint()).ends == 2);
 }
 
-// Endpoints of a bad version answered the harmful request with 500 within milliseconds; each such answer
-// cleared it at every instance, and 40 endpoints ended where 5 do.
-TEST_CASE("an endpoint's failure clears no suspect")
+// Guards against clearing a harmful request by error answers: endpoints of a bad version answered it with 500
+// within milliseconds, which cleared it at every instance, and 40 endpoints ended where 5 would have.
+TEST_CASE("an error answer of an endpoint does not clear a suspected request")
 {
     forwarder_under_test by{6};
     by.request(1);
--- a/src/runlink/routing/place_queue.cpp
+++ b/src/runlink/routing/place_queue.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Callers are put off to later times than others no further than this: the room may be found sooner.
+/// Longest time by which the retry of a caller is deferred behind other callers; capacity may return sooner.
 constexpr milliseconds longest_return{5000};
 
 } // namespace
--- a/src/runlink/routing/place_queue_test.cpp
+++ b/src/runlink/routing/place_queue_test.cpp
@@ -1,4 +1,4 @@
-// Requests that wait for a place, and callers that are put off.
+// Order of requests that wait for a send slot, and retry times of refused callers.
 
 #include <catch2/catch.hpp>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("places are counted over all endpoints, each at its own pace")
+TEST_CASE("send slots are counted over all endpoints, each at its own interval")
 {
     const std::vector<opening> open{{after(100), milliseconds{1000}}, {after(300), milliseconds{200}}};
     CHECK(place_behind(0, open) == after(100));
@@ -47,8 +47,7 @@
     CHECK(it.size() == 2);
 }
 
-TEST_CASE(
-    "callers without a place are put off to different times, none further than the room is likely to stay")
+TEST_CASE("callers without a send slot get different retry times, within a maximum delay")
 {
     place_queue it;
     CHECK(it.assign_return(start, pool, after(400), milliseconds{500}) == after(400));
--- a/src/runlink/routing/request_forwarder.cpp
+++ b/src/runlink/routing/request_forwarder.cpp
@@ -24,7 +24,7 @@
 {
     for (auto& [id, it] : flows_)
         if (!it.account.empty() && has_key(*table, it))
-            it.key_held_at.reset(); // it may have been given back
+            it.key_held_at.reset(); // the key may have been added again
         else if (!it.account.empty() && !it.key_held_at)
             it.key_held_at = proven_at_;
     for (const auto& it : table->services())
@@ -58,8 +58,8 @@
 {
     if (!rollouts_.on_order(written_at, order))
         return;
-    // Runs before the order were told to nobody. A session may rest for longer than the roll-out waits before
-    // its first share, and then go on at an instance that takes it for a new one.
+    // Runs before the order were not announced. A session may be idle for longer than the roll-out waits
+    // before its first share, and then continue at an instance that would take it for a new session.
     for (const auto& it : pins_.all(now))
         if (rollouts_.spreads_runs(order.service, it.session))
             hooks_.session_ran(it);
--- a/src/runlink/routing/request_forwarder_answers.cpp
+++ b/src/runlink/routing/request_forwarder_answers.cpp
@@ -1,4 +1,4 @@
-// What becomes of attempts: answers, streams, losses, and the final word.
+// Results of attempts: answers, streams, losses, and the end of a request.
 
 #include <algorithm>
 #include <utility>
@@ -46,7 +46,8 @@
     const bool refused = head.not_run || head.status == status_misdirected;
     const bool is_invalid = is_success(head.status) && !head.is_sealed;
     const bool is_bad = is_invalid || head.status >= first_server_error;
-    // An endpoint that fails at once has not run the request: that clears no suspect.
+    // An endpoint may fail at once without running the request, so an error does not clear a suspected
+    // request.
     if (!refused && !is_bad)
         attribution_.on_answered(now, it->fingerprint);
     auto from = take_attempt(now, id);
@@ -75,7 +76,7 @@
         return again_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
     }
     if (is_bad && !it->attempts.empty() && !it->head_forwarded)
-        return; // another attempt is under way
+        return; // another attempt is active
     if (it->head_forwarded)
         return again_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
     if (is_bad && it->via->is_idempotent())
@@ -122,7 +123,7 @@
     hooks_.log(line);
     it->head_forwarded = true;
     hooks_.forward_head(it->id, id);
-    arm(*it, next_check(*it)); // a pause between events is noticed sooner than a late first one
+    arm(*it, next_check(*it)); // the limit for a pause between events is shorter than for the first event
 }
 
 cascade_input request_forwarder::cascade_input_of(time_point now, const flow& it, int confidence,
@@ -187,7 +188,7 @@
     it->ask_at = now + liveness_.options().ask_after;
     cancel_others(now, *it, id);
     if (event_id && it->last_event && *event_id <= *it->last_event)
-        return; // the caller has it
+        return; // the caller already has this event
     if (event_id)
         it->last_event = event_id;
     hooks_.forward_bytes(it->id, event);
@@ -198,7 +199,7 @@
     auto* it = find(id);
     if (it == nullptr)
         return;
-    // The rest of a stream that has no event left says nothing of what its run does to an endpoint.
+    // A resumed stream without further events shows nothing about the effect of the request on an endpoint.
     if (attempts_.at(id).events > 0)
         attribution_.on_answered(now, it->fingerprint);
     auto from = take_attempt(now, id);
--- a/src/runlink/routing/request_forwarder_arrival.cpp
+++ b/src/runlink/routing/request_forwarder_arrival.cpp
@@ -1,5 +1,5 @@
-// What becomes of a request as it arrives: its route, its key, whether it can be served, and where its prompt
-// goes.
+// Handling of a request on arrival: its route and API key, whether it can be served, and the placement of its
+// prompt.
 
 #include <algorithm>
 #include <chrono>
@@ -31,7 +31,7 @@
 {
     paused_since_ = since;
     bounds_.on_wake(now);
-    start_queue_.open(now); // keys may need a new proof, which is a moment away
+    start_queue_.open(now); // keys may need a new proof, which is expected shortly
 }
 
 bool request_forwarder::is_started(time_point now) const
@@ -94,7 +94,7 @@
     it.via = table_->find_route(it.request.host, it.request.path);
     if (it.via == nullptr)
     {
-        // An old table may lack a route that was just added.
+        // An outdated table may lack a route that was added recently.
         if (!is_fresh(now, options_.max_denial_age))
             return unavailable(core::errc::cut_off, "route");
         return refusal{status_not_found, true, {core::errc::unknown_service, "route"}};
@@ -137,7 +137,7 @@
 
 milliseconds request_forwarder::retry_after(time_point now, const flow& it) const
 {
-    // A repeat before its time would be refused again.
+    // A retry before this time would be refused again.
     if (const auto left = attribution_.refused_for(now, it.fingerprint); left > duration{})
         return std::chrono::ceil<milliseconds>(left);
     const auto expected = expect(now, it);
@@ -174,7 +174,7 @@
     const auto& request = it.request;
     const auto& name = request.session.empty() ? request.id.str() : request.session.str();
     it.session = session_hash{core::stable_hash(name)};
-    // The last part is the request's own.
+    // The last part is not shared with other requests.
     for (std::size_t n = 0; n + 1 < request.prompt.size(); ++n)
     {
         it.shared_parts = core::stable_hash(request.prompt[n].id, it.shared_parts);
--- a/src/runlink/routing/request_forwarder_crashes.cpp
+++ b/src/runlink/routing/request_forwarder_crashes.cpp
@@ -1,4 +1,4 @@
-// What is done about requests under which endpoints end.
+// Handling of requests that crash endpoints.
 
 #include <algorithm>
 #include <chrono>
@@ -42,7 +42,7 @@
 void request_forwarder::note_broken(time_point now, const flow& it, const attempt& from, bool asks_endpoint)
 {
     const auto* endpoint = endpoints_.find(from.endpoint);
-    // An endpoint that leaves may end as planned.
+    // A leaving endpoint may end as planned.
     if (!from.may_have_run || endpoints_.is_leaving(from.endpoint))
         return;
     const bool is_first =
@@ -64,7 +64,8 @@
 
 void request_forwarder::on_endpoint_ended(time_point now, crashes::endpoint_life it)
 {
-    // Its entry is listed for seconds; without this each instance finds out by a request of its own.
+    // The endpoint's entry stays listed for seconds. Without this, each instance would find out by losing a
+    // request of its own.
     const auto* endpoint =
         endpoints_.find_if([&](const endpoint_entry& e) { return crashes::life_hash(e.id) == it; });
     if (endpoint == nullptr)
@@ -92,7 +93,7 @@
         narrowed.may_use = [this, least, before = narrowed.may_use](const endpoint_entry& it)
         { return before(it) && chooser_.in_flight(it.id) <= least; };
     }
-    // Where every endpoint is on trial, requests go on nevertheless.
+    // If every endpoint has an isolated run, requests are sent without this restriction.
     if (chooser_.peek(now, endpoints_, narrowed) != nullptr)
         need = std::move(narrowed);
 }
@@ -154,10 +155,10 @@
 
 void request_forwarder::withdraw_copies(time_point now, crashes::request_fingerprint it)
 {
-    // An answer or a finding of another instance may have cleared it meanwhile.
+    // An answer, or a finding of another instance, may have cleared the request in the meantime.
     if (attribution_.judge(now, it) == crashes::permission::free)
         return;
-    // Copies that wait at endpoints would each end one. One that was tried meanwhile is no such copy.
+    // Each copy that is queued at an endpoint could crash that endpoint. A copy in an isolated run is kept.
     for (const auto id : flows_of(it))
     {
         auto& e = flows_.at(id);
@@ -168,7 +169,7 @@
             continue;
         const auto next = plan(now, e, true);
         const bool waits = !next && next.error() == succession_denial::suspected;
-        // A plan that waits for its turn has not looked for an endpoint.
+        // A plan denied as `suspected` has not looked for an endpoint yet.
         const bool has_place = !waits || chooser_.peek(now, endpoints_, need_of(now, e)) != nullptr;
         if (!has_place || (!next && !waits))
         {
@@ -176,7 +177,7 @@
             continue;
         }
         for (const auto n : e.attempts)
-            e.tried.erase(attempts_.at(n).endpoint); // it may be tried there
+            e.tried.erase(attempts_.at(n).endpoint); // the isolated run may use this endpoint
         cancel_attempts(now, e);
         hold(now, e);
         arm(e, next_check(e));
@@ -192,7 +193,7 @@
 
 bool request_forwarder::is_beyond_verdict(const flow& it) const
 {
-    // An answer under way is evidence for its request, and a verdict may be wrong.
+    // An answer that has begun is evidence that the request is harmless, and the verdict may be wrong.
     const auto is_beyond = [&](attempt_id id)
     {
         const auto& e = attempts_.at(id);
--- a/src/runlink/routing/request_forwarder_endpoints.cpp
+++ b/src/runlink/routing/request_forwarder_endpoints.cpp
@@ -1,4 +1,4 @@
-// Which endpoints requests may go to as their list, their failure domains and their warm-up change.
+// Which endpoints may be used, as their list, the evacuations of failure domains and their warm-up change.
 
 #include <algorithm>
 #include <chrono>
@@ -25,7 +25,8 @@
 {
     for (const auto& it : all)
         on_endpoint(now, it);
-    // At once: around an outage the directory uses what a list lacks for a while.
+    // Removed at once: around an outage of the store the directory keeps using unlisted endpoints for a
+    // while.
     for (const auto& name : unreadable)
         endpoints_.drop(name);
     endpoints_.replace(now, all);
@@ -82,7 +83,7 @@
     line.event = "domain_readmitted";
     line.failure_domain = domain.str();
     hooks_.log(line);
-    // Its endpoints may have turned cold shortly before, which their entries tell later.
+    // Its endpoints may have become cold shortly before, and their entries say so only later.
     for (const auto* it : endpoints_.of_domain(domain))
         suspect(now, *it, places::cold_reason::readmitted);
 }
--- a/src/runlink/routing/request_forwarder_places.cpp
+++ b/src/runlink/routing/request_forwarder_places.cpp
@@ -1,4 +1,5 @@
-// Requests that no endpoint may be sent now: which wait for a place, and when the others come back.
+// Requests that no endpoint may be sent now: which of them wait for a send slot, and when the callers of the
+// others are to retry.
 
 #include <algorithm>
 #include <utility>
--- a/src/runlink/routing/request_forwarder_statements.cpp
+++ b/src/runlink/routing/request_forwarder_statements.cpp
@@ -1,4 +1,4 @@
-// What endpoints say of themselves in their answers, and what other instances have heard of them.
+// What endpoints state about themselves in their answers, and what other instances report about that.
 
 #include <charconv>
 #include <chrono>
@@ -65,7 +65,7 @@
 {
     if (!endpoints_.mark_leaving(now - age, id))
         return;
-    // An instance that is told by another does not tell on: all were told.
+    // News from another instance is not passed on: that instance announced it to all instances.
     if (source == "answer")
         leaving_news_.add(now, id);
     decision line;
--- a/src/runlink/routing/request_forwarder_succession.cpp
+++ b/src/runlink/routing/request_forwarder_succession.cpp
@@ -1,4 +1,4 @@
-// Whether another attempt may take the place of one, and what is told where none may.
+// Whether an attempt may be replaced by another one, and the handling of denials.
 
 #include <algorithm>
 #include <chrono>
@@ -10,7 +10,8 @@
 
 crashes::permission request_forwarder::content_of(time_point now, const flow& it) const
 {
-    // A trial is not in its own way: where it hangs, it goes on elsewhere, since every copy waits for it.
+    // An isolated run does not block its own successor: if the run hangs it is replaced, because all copies
+    // of the request wait for it.
     const bool is_trial = std::any_of(it.attempts.begin(), it.attempts.end(),
                                       [this](attempt_id id) { return attempts_.at(id).is_trial; });
     if (is_trial && attribution_.may_hand_on(it.fingerprint))
@@ -20,7 +21,7 @@
 
 succession_input request_forwarder::input_of(time_point now, const flow& it, bool costs_allowance)
 {
-    // Attempts that are still connecting may run as well.
+    // Attempts that are still connecting may run too.
     auto runs = it.runs;
     for (const auto id : it.attempts)
         runs += attempts_.at(id).may_have_run ? 0 : 1;
@@ -70,7 +71,7 @@
 {
     auto& from = attempts_.at(id);
     auto& it = flows_.at(from.flow);
-    // The loss may end the use of its version, so it counts before the next endpoint is looked for.
+    // The loss may end the use of its version, so it is counted before the next endpoint is chosen.
     if (plan(now, it, true))
         sample_end(now, it, from, true);
     const auto next = plan(now, it, true);
@@ -123,7 +124,7 @@
 {
     if (!it.attempts.empty())
     {
-        // The successor of a stalled stream has failed: the next one, without another wait.
+        // The successor of a stalled stream has failed: try the next one without waiting again.
         const bool are_stalled = std::all_of(it.attempts.begin(), it.attempts.end(),
                                              [this](attempt_id id) { return attempts_.at(id).is_stalled; });
         if (are_stalled)
--- a/src/runlink/routing/request_forwarder_timers.cpp
+++ b/src/runlink/routing/request_forwarder_timers.cpp
@@ -1,4 +1,4 @@
-// What happens when time passes: deadlines, second sends, moves, and questions to silent endpoints.
+// Timers: deadlines, hedged requests, moves of stalled streams, and probes of silent endpoints.
 
 #include <algorithm>
 #include <utility>
@@ -58,7 +58,7 @@
     {
         const auto& from = attempts_.at(id);
         const auto* endpoint = endpoints_.find(from.endpoint);
-        // An evacuated failure domain gets not even a connection.
+        // An evacuated failure domain gets no connections, not even probes.
         if (from.may_have_run && endpoint != nullptr && !evacuations_.contains(endpoint->failure_domain) &&
             liveness_.try_ask(now, from.endpoint))
             hooks_.ask(*endpoint);
@@ -85,7 +85,7 @@
 
 void request_forwarder::replace_silent_attempts(time_point now, const endpoint_id& id, bool has_ended)
 {
-    // Only what may be repeated: a request that may run once is not ended because its endpoint is silent.
+    // Only idempotent requests: one that may run only once is not given up because its endpoint is silent.
     std::vector<attempt_id> silent;
     for (const auto& [attempt, it] : attempts_)
     {
@@ -114,7 +114,8 @@
 
 void request_forwarder::move(time_point now, flow& it)
 {
-    // A pause may pass. The last attempt is kept for a loss, after which nothing else is left.
+    // A pause may end by itself. The last attempt is reserved for a broken connection, which only another
+    // attempt can recover from.
     if (it.head_forwarded && input_of(now, it, true).runs_left == 1)
     {
         note_denied(now, it, succession_denial::last_attempt, "not_moved");
@@ -126,7 +127,7 @@
 
 void request_forwarder::move_with_last_attempt(time_point now, flow& it)
 {
-    // The pause may end the use of its version, so it counts before the next endpoint is looked for.
+    // The pause may end the use of its version, so it is counted before the next endpoint is chosen.
     if (plan(now, it, true))
         for (const auto id : it.attempts)
             if (!attempts_.at(id).is_stalled)
@@ -144,7 +145,7 @@
     for (const auto id : it.attempts)
         if (auto& from = attempts_.at(id); !std::exchange(from.is_stalled, true))
             chooser_.broke(now, from.endpoint);
-    // The next endpoint may refuse it, and then nothing else may be left.
+    // The next endpoint may refuse the request, and then no other attempt may be left to continue with.
     if (!keeps_until_answered(it))
         cancel_attempts(now, it);
     repeat(now, it, next.value(), true);
