--- a/include/runlink/routing/admission.hpp
+++ b/include/runlink/routing/admission.hpp
@@ -15,8 +15,8 @@
 {
     /// Bounds of the retry delay sent to callers, before the spread. A shorter delay brings a caller back to
     /// the same queue; after a longer one few callers have time left before their deadline.
-    core::milliseconds least_retry_after{300};
-    core::milliseconds longest_retry_after{5000};
+    core::milliseconds min_retry_after{300};
+    core::milliseconds max_retry_after{5000};
     /// Fraction of the retry delay by which the delays of different callers differ, so that callers refused
     /// together do not retry together.
     double spread = 0.5;
@@ -37,9 +37,9 @@
     std::optional<core::milliseconds> refuse_for(core::duration wait, core::milliseconds time_left,
                                                  std::uint64_t request_hash) const;
     /// Returns the retry delay for a send slot that opens after `wait`: at least `wait`, plus the spread.
-    core::milliseconds return_after(core::duration wait, std::uint64_t request_hash) const;
+    core::milliseconds uncapped_retry_after(core::duration wait, std::uint64_t request_hash) const;
     /// Returns the retry delay for a backlog that drains within `wait`; `wait` is capped at
-    /// `longest_retry_after` before the spread is added.
+    /// `max_retry_after` before the spread is added.
     core::milliseconds retry_after(core::duration wait, std::uint64_t request_hash) const;
 
 private:
--- a/include/runlink/routing/forwarder_options.hpp
+++ b/include/runlink/routing/forwarder_options.hpp
@@ -35,7 +35,7 @@
     /// Most sends of one request, including those that endpoints refused.
     std::uint32_t max_sends = 4;
     /// Most attempts of one request of which no byte was sent, such as failed connections.
-    std::uint32_t max_unsent = 6;
+    std::uint32_t max_unsent_attempts = 6;
     /// Remaining time at or below which a request is neither admitted nor retried.
     milliseconds least_time{20};
     /// Fraction of the target latency after which a safe request is hedged at a second endpoint.
@@ -58,7 +58,7 @@
     milliseconds most_hold{2000};
     milliseconds hold_interval{20}; ///< between two checks whether a held request may be sent
     /// Interval between two checks whether attempts at ended endpoints may be replaced.
-    milliseconds leave_interval{100};
+    milliseconds replace_interval{100};
     places::region_map regions;
 };
 
--- a/include/runlink/routing/liveness.hpp
+++ b/include/runlink/routing/liveness.hpp
@@ -27,7 +27,7 @@
 
     void heard(time_point now, const endpoint_id& id) { records_[id].heard = now; }
     /// Returns whether to probe the endpoint now; if so, records the probe.
-    bool try_ask(time_point now, const endpoint_id& id);
+    bool try_probe(time_point now, const endpoint_id& id);
     time_point last_heard(const endpoint_id& id) const;
     const liveness_options& options() const { return options_; }
     /// Removes the records of endpoints that are not in the directory.
--- a/include/runlink/routing/place_queue.hpp
+++ b/include/runlink/routing/place_queue.hpp
@@ -19,7 +19,7 @@
 using core::time_point;
 
 /// The future send slots of one endpoint.
-struct opening
+struct slot_series
 {
     time_point first{};  ///< earliest slot
     duration interval{}; ///< between two slots
@@ -27,7 +27,7 @@
 
 /// Returns the time of the slot that is left for a request behind `ahead` others, over all endpoints; nothing
 /// without endpoints.
-std::optional<time_point> place_behind(std::size_t ahead, std::vector<opening> openings);
+std::optional<time_point> slot_behind(std::size_t ahead, std::vector<slot_series> slots);
 
 /// The order in which waiting requests get send slots: the most urgent first, then the oldest.
 ///
@@ -35,7 +35,7 @@
 /// the slot comes before the answer would be late. Any other caller is refused at once with a retry time, and
 /// each of these callers gets a later time than the one before, so that they do not retry together and get
 /// refused again.
-class place_queue
+class slot_queue
 {
 public:
     /// A waiting request.
@@ -57,11 +57,12 @@
     std::size_t size() const;
     /// Returns the time at which a caller that cannot wait is to retry: `first`, or one `interval` after the
     /// time given to the caller before it.
-    time_point assign_return(time_point now, const service_id& service, time_point first, duration interval);
+    time_point assign_retry_time(time_point now, const service_id& service, time_point first,
+                                 duration interval);
 
 private:
     std::map<service_id, std::set<entry>> waiting_;
-    std::map<service_id, time_point> next_return_; ///< for the next caller
+    std::map<service_id, time_point> next_retry_; ///< for the next caller
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/request_forwarder.hpp
+++ b/include/runlink/routing/request_forwarder.hpp
@@ -153,12 +153,12 @@
         inbound_request request;
         crashes::request_fingerprint fingerprint;
         routing_table_ptr table;
-        const route* via = nullptr;
+        const route* matched_route = nullptr;
         service_id service;
         account_id account;
         const routing::account* owner = nullptr; ///< in `table`; null without a key
         /// When the key was last known to be valid, if the current table lacks it.
-        std::optional<time_point> key_held_at;
+        std::optional<time_point> key_last_valid_at;
         int priority = 0;
         session_hash session;            ///< hash of the session, or of the request ID without a session
         std::uint64_t shared_parts = 0;  ///< hash of the prompt parts shared between requests
@@ -167,23 +167,23 @@
         time_point deadline{};
         std::set<attempt_id> attempts;
         std::set<endpoint_id> tried;
-        std::size_t size = 0; ///< index into the route's `model_sizes`
+        std::size_t model_index = 0; ///< index into the route's `model_sizes`
         std::uint32_t sends = 0;
         std::uint32_t unsent = 0; ///< sends of which no byte was sent
         std::uint32_t runs = 0;   ///< attempts that may have run
         bool head_forwarded = false;
         bool hedged = false;
         std::optional<time_point> held_since; ///< start of the wait for an isolated run or a send slot
-        bool waits_for_place = false;
+        bool waits_for_slot = false;
         /// Why no further attempt was allowed, since the latest one was sent.
         std::optional<succession_denial> denied;
         std::optional<std::uint64_t> last_event;
         time_point last_progress{};
-        time_point not_moved_at{}; ///< when a move was last denied
-        time_point check_at{};     ///< the time in `timers_`
-        time_point ask_at{};       ///< when its endpoint is probed if it stays silent
+        time_point move_denied_at{}; ///< when a move was last denied
+        time_point check_at{};       ///< the time in `timers_`
+        time_point probe_at{};       ///< when its endpoint is probed if it stays silent
         /// When to check again whether attempts at ended endpoints may be replaced.
-        std::optional<time_point> leave_at;
+        std::optional<time_point> replace_at;
     };
     /// One send of a request to an endpoint.
     struct attempt
@@ -211,23 +211,23 @@
     /// Whether there is a routing table by which requests may be admitted.
     bool is_started(time_point now) const;
     /// Admits the request and sends its first attempt, holds it, or refuses it.
-    void take(time_point now, time_point arrived, flow_id id, inbound_request request);
+    void start_flow(time_point now, time_point arrived, flow_id id, inbound_request request);
     /// Processes requests of the start queue that are ready or due.
-    void take_held(time_point now);
+    void process_start_queue(time_point now);
     /// Returns the refusal if the request cannot be admitted.
     std::optional<refusal> admit(time_point now, flow& it);
     std::optional<refusal> check_key(time_point now, flow& it);
     /// Chooses the service of the request and derives its session and prompt hashes.
-    void place(flow& it) const;
+    void assign_service(flow& it) const;
     /// Expected wait and read time of the request's prompt at the endpoint that it would be sent to now;
     /// nothing without a prompt or an endpoint.
-    std::optional<placed_prompt> expect(time_point now, const flow& it) const;
+    std::optional<placed_prompt> expected_prompt(time_point now, const flow& it) const;
     /// The retry delay for a caller that is refused now.
     milliseconds retry_after(time_point now, const flow& it) const;
     /// Whether the table was proven to be current within `max_age`.
     bool is_fresh(time_point now, milliseconds max_age) const;
     /// Whether the current table is proven recently enough for its API keys to admit requests.
-    bool keys_hold(time_point now) const;
+    bool are_keys_proven(time_point now) const;
 
     // Endpoints
     /// Returns an empty ID for an endpoint that is not listed.
@@ -238,7 +238,7 @@
     /// evacuated.
     bool is_allowed(const flow& it, const endpoint_entry& to) const;
     /// Time until the first allowed endpoint may be sent a request again.
-    duration time_to_place(time_point now, const flow& it) const;
+    duration time_to_slot(time_point now, const flow& it) const;
     /// Whether a more urgent or an older request waits for a send slot at the endpoint.
     bool is_outranked(const flow& it, const endpoint_entry& at) const;
     /// Whose next send to an endpoint is considered.
@@ -248,14 +248,14 @@
         any, ///< a refused caller may retry at any instance
     };
     /// Send slots of the endpoints that are suitable but restricted by their own statements.
-    std::vector<opening> openings(time_point now, const flow& it, sender whose) const;
+    std::vector<slot_series> restricted_slots(time_point now, const flow& it, sender whose) const;
     /// Whether the request gets a send slot before its answer would be late.
     bool may_wait(time_point now, const flow& it) const;
-    void wait_for_place(time_point now, flow& it);
+    void wait_for_slot(time_point now, flow& it);
     /// The retry delay for the caller of a request without a send slot.
-    milliseconds return_time(time_point now, const flow& it);
+    milliseconds slot_retry_after(time_point now, const flow& it);
     void end_wait(flow& it);
-    static place_queue::entry place_of(const flow& it) { return {it.priority, it.arrived, it.id}; }
+    static slot_queue::entry queue_entry_of(const flow& it) { return {it.priority, it.arrived, it.id}; }
     /// Announces changed limits that are due to other instances.
     void tell_limits(time_point now);
     void mark_leaving(time_point now, const endpoint_id& id, milliseconds age, std::string_view source);
@@ -267,78 +267,78 @@
                    milliseconds age);
     void readmit(time_point now, const failure_domain_id& domain);
     /// Treats the endpoint as possibly cold.
-    void suspect(time_point now, const endpoint_entry& it, places::cold_reason why);
-    void suspect_unreachable(time_point now, const endpoint_id& id);
+    void mark_suspected_cold(time_point now, const endpoint_entry& it, places::cold_reason why);
+    void mark_unreachable_cold(time_point now, const endpoint_id& id);
     void log_cold(time_point now, const endpoint_entry& it, places::cold_reason why);
 
     // Requests that crash endpoints
     crashes::crash_attribution::hooks attribution_hooks();
-    /// Holds the request; `release` checks it again every `hold_interval`.
+    /// Holds the request; `recheck_held` checks it again every `hold_interval`.
     void hold(time_point now, flow& it);
     /// Checks whether a held request may be sent, waits on or is refused.
-    void release(time_point now, flow& it);
+    void recheck_held(time_point now, flow& it);
     std::vector<flow_id> flows_of(crashes::request_fingerprint it) const;
     /// Acts on requests that became suspected or were found harmful. Must not be called from the callbacks of
     /// the attribution, because this may end the attempt or flow that is being processed.
-    void settle_verdicts(time_point now);
+    void apply_verdicts(time_point now);
     /// Cancels attempts of a suspected request that were sent before the suspicion, and holds their flows.
     void withdraw_copies(time_point now, crashes::request_fingerprint it);
     /// Ends the flows of a request that was found harmful.
     void end_copies(time_point now, crashes::request_fingerprint it);
     /// Whether the request's answer has begun, or it may run only once and may have begun to run.
-    bool is_beyond_verdict(const flow& it) const;
+    bool is_exempt_from_verdict(const flow& it) const;
     /// Narrows `need` so that an isolated run goes to an endpoint with the fewest other requests, and other
     /// requests avoid endpoints with an isolated run.
-    void keep_apart(time_point now, endpoint_need& need, bool is_trial) const;
-    /// Reports a broken connection to the crash attribution. With `asks_endpoint`, probes the endpoint at
+    void isolate_suspects(time_point now, endpoint_need& need, bool is_trial) const;
+    /// Reports a broken connection to the crash attribution. With `probes_endpoint`, probes the endpoint at
     /// once to find out whether it has ended: then all its requests are cut, and one of them may be the
     /// cause.
-    void note_broken(time_point now, const flow& it, const attempt& from, bool asks_endpoint);
+    void report_broken(time_point now, const flow& it, const attempt& from, bool probes_endpoint);
     void on_endpoint_ended(time_point now, crashes::endpoint_life it);
-    void note_ended(time_point now, const endpoint_id& id, std::string_view how);
+    void report_endpoint_ended(time_point now, const endpoint_id& id, std::string_view how);
     void log_attribution(time_point now, std::string_view event, crashes::request_fingerprint it,
                          std::string_view reason);
 
     // Attempts
     /// Whether the endpoint stated that it is leaving and may not be used even as a last resort.
-    bool has_left(time_point now, const endpoint_id& id) const;
+    bool is_excluded_as_leaving(time_point now, const endpoint_id& id) const;
     /// Whether `table` has the request's key, for the same client account.
     static bool has_key(const routing_table& table, const flow& it);
-    key_standing key_of(time_point now, const flow& it) const;
+    key_state key_state_of(time_point now, const flow& it) const;
     /// Time since the key was last known to be valid; -1 ms while the current table has it.
-    milliseconds key_gone_for(time_point now, const flow& it) const;
+    milliseconds time_since_key_valid(time_point now, const flow& it) const;
     void send(time_point now, flow& it, const successor& to);
-    void log_dispatched(time_point now, const flow& it, const attempt_order& order, const attempt& as);
+    void log_dispatched(time_point now, const flow& it, const attempt_order& order, const attempt& sent);
     endpoint_need need_of(time_point now, const flow& it) const;
     /// The model that the next attempt asks for; empty if the caller named the model or the route has none.
     model_id model_of(const flow& it) const;
     std::optional<placed_prompt> place_prompt(time_point now, const endpoint_entry& to,
                                               const std::optional<prompt_need>& need);
-    void prompt_read(time_point now, attempt& it);
+    void on_prompt_read(time_point now, attempt& it);
 
     // Succession: an attempt that may still be answered is cancelled only in the step that sends its
     // successor. Without a successor the attempt is kept.
 
     /// Whether the request's content may run freely, only in isolation, not now, or not at all.
-    crashes::permission content_of(time_point now, const flow& it) const;
+    crashes::permission content_permission(time_point now, const flow& it) const;
     succession_input input_of(time_point now, const flow& it, bool costs_allowance);
     /// Plans the next attempt without sending it.
-    succession plan(time_point now, const flow& it, bool costs_allowance);
+    succession plan_successor(time_point now, const flow& it, bool costs_allowance);
     /// Sends a successor that was planned in this step, as a retry.
-    void repeat(time_point now, flow& it, const successor& to, bool costs_allowance);
+    void send_retry(time_point now, flow& it, const successor& to, bool costs_allowance);
     /// Replaces an attempt by its successor, or returns the reason against a successor.
     std::optional<succession_denial> try_replace(time_point now, attempt_id id);
     /// Tries to replace an attempt that is unlikely to be answered. `has_ended`: the endpoint has ended, as
     /// far as is known.
     void replace(time_point now, attempt_id id, bool has_ended);
     /// Checks again whether attempts at ended endpoints may be replaced.
-    void leave_ended(time_point now, flow& it);
+    void replace_ended(time_point now, flow& it);
     /// If no attempt is active: retries the request, holds it, or ends it with the error `why`.
-    void again_or_end(time_point now, flow& it, core::errc why, bool costs_allowance);
-    void note_denied(time_point now, flow& it, succession_denial why, std::string_view event);
+    void retry_or_end(time_point now, flow& it, core::errc why, bool costs_allowance);
+    void log_denial(time_point now, flow& it, succession_denial why, std::string_view event);
     /// Adds the inputs of the denial to the log record.
     void describe_denial(time_point now, const flow& it, decision& to);
-    void note_lost(time_point now, attempt_id id, attempt_loss loss);
+    void record_loss(time_point now, attempt_id id, attempt_loss loss);
     std::optional<attempt> take_attempt(time_point now, attempt_id id);
     void cancel_attempts(time_point now, flow& it);
     /// Cancels all attempts of the request except `but`.
@@ -352,7 +352,7 @@
     /// byte. Without these samples a version that never answered 30 % of its requests was rated good.
     void sample_given_up(time_point now, const flow& it, attempt& from, bool is_stalled);
     cascade_input cascade_input_of(time_point now, const flow& it, int confidence, const succession& larger);
-    /// Retries at a larger model if the confidence of the answer is too low. Returns whether it does.
+    /// Retries at the largest model if the confidence of the answer is too low. Returns whether it does.
     bool try_escalate(time_point now, flow& it, attempt_id from, int confidence);
 
     // Endings
@@ -373,7 +373,7 @@
     /// its answer, so that two runs are not active at the same time.
     bool keeps_until_answered(const flow& it) const;
     /// Probes the silent endpoints of the request.
-    void ask_endpoints(time_point now, flow& it);
+    void probe_endpoints(time_point now, flow& it);
     void replace_silent_attempts(time_point now, const endpoint_id& id, bool has_ended);
     void replace_earlier_life(time_point now, const endpoint_entry& it);
 
@@ -393,7 +393,7 @@
     endpoint_chooser chooser_;
     liveness liveness_;
     places::endpoint_bounds bounds_;
-    place_queue place_queue_;
+    slot_queue slot_queue_;
     repeated_news<endpoint_id> leaving_news_;
     places::evacuations evacuations_;
     crashes::crash_attribution attribution_;
@@ -405,7 +405,7 @@
     admission admission_;
     start_queue start_queue_;
     std::optional<time_point> paused_since_;
-    bool may_release_ = false; ///< the start queue may be processed: table or proof is new
+    bool is_start_queue_ready_ = false; ///< the start queue may be processed: table or proof is new
     std::map<service_id, retry_allowance> retries_;
     std::map<flow_id, flow> flows_;
     std::map<attempt_id, attempt> attempts_;
--- a/include/runlink/routing/start_queue.hpp
+++ b/include/runlink/routing/start_queue.hpp
@@ -23,8 +23,9 @@
     milliseconds longest_wait{700};
     /// Fraction of the caller's remaining time that a request may wait, so that after a refusal there is time
     /// left for another instance.
-    double part_of_time_left = 0.3;
-    std::size_t most = 256; ///< most queued requests; a small instance receives only a few in this time
+    double time_left_share = 0.3;
+    std::size_t max_requests =
+        256; ///< most queued requests; a small instance receives only a few in this time
 };
 
 /// Queues requests while a process waits for its first configuration. When many instances restart after a
@@ -38,7 +39,7 @@
     explicit start_queue(start_queue_options options = {}) : options_{options} {}
 
     /// A queued request.
-    struct held
+    struct queued_request
     {
         flow_id id{};
         time_point arrived{};
@@ -53,16 +54,16 @@
     /// Removes the request of a caller that has left. Returns whether it was queued.
     bool drop(flow_id id);
     /// Removes and returns all requests.
-    std::vector<held> take_all();
+    std::vector<queued_request> take_all();
     /// Removes and returns the requests whose wait is over.
-    std::vector<held> take_due(time_point now);
+    std::vector<queued_request> take_due(time_point now);
     std::optional<time_point> next_due() const;
     std::size_t size() const { return queue_.size(); }
 
 private:
     start_queue_options options_;
     std::optional<time_point> open_until_;
-    std::deque<held> queue_;
+    std::deque<queued_request> queue_;
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/succession.hpp
+++ b/include/runlink/routing/succession.hpp
@@ -17,9 +17,9 @@
 {
 
 /// What is known about a request's API key.
-enum class key_standing
+enum class key_state
 {
-    holds,    ///< valid, or no key is needed
+    valid,    ///< valid, or no key is needed
     in_grace, ///< removed, but known to be valid within the grace period
     removed,  ///< removed for longer than the grace period
     unproven, ///< in the table, but the proof that the table is current is too old
@@ -44,7 +44,7 @@
 std::string_view to_string(succession_denial it);
 
 /// Whether the denial may end by itself before the request's deadline.
-bool passes(succession_denial it);
+bool is_temporary(succession_denial it);
 
 /// Inputs of the decision, except the choice of an endpoint.
 struct succession_input
@@ -54,7 +54,7 @@
     std::uint32_t sends_left = 1; ///< attempts of any outcome
     core::duration time_left{};
     core::milliseconds least_time{}; ///< no attempt is sent with this time left or less
-    key_standing key = key_standing::holds;
+    key_state key = key_state::valid;
     crashes::permission content = crashes::permission::free;
     bool costs_allowance = true; ///< the attempt counts as a retry
     double allowance_left = 1;   ///< retries left
@@ -62,7 +62,7 @@
 
 /// Returns the first reason against another attempt, if there is one. `suspected` ends by itself, so it is
 /// checked last and does not hide a permanent reason.
-std::optional<succession_denial> judge(const succession_input& it);
+std::optional<succession_denial> find_denial(const succession_input& it);
 
 /// A planned attempt that can certainly be sent: nothing that it needs can become unavailable while the event
 /// that planned it is being handled.
--- a/src/runlink/routing/admission.cpp
+++ b/src/runlink/routing/admission.cpp
@@ -16,15 +16,15 @@
 
 core::milliseconds admission::retry_after(core::duration wait, std::uint64_t request_hash) const
 {
-    return return_after(std::min<core::duration>(wait, options_.longest_retry_after), request_hash);
+    return uncapped_retry_after(std::min<core::duration>(wait, options_.max_retry_after), request_hash);
 }
 
-core::milliseconds admission::return_after(core::duration wait, std::uint64_t request_hash) const
+core::milliseconds admission::uncapped_retry_after(core::duration wait, std::uint64_t request_hash) const
 {
     constexpr std::uint64_t steps = 1024;
-    const auto time = std::max(std::chrono::ceil<core::milliseconds>(wait), options_.least_retry_after);
+    const auto time = std::max(std::chrono::ceil<core::milliseconds>(wait), options_.min_retry_after);
     const auto part = static_cast<double>(request_hash % steps) / static_cast<double>(steps);
-    const auto spread = std::min(time, options_.longest_retry_after).count();
+    const auto spread = std::min(time, options_.max_retry_after).count();
     const auto more = static_cast<double>(spread) * options_.spread * part;
     return time + core::milliseconds{static_cast<core::milliseconds::rep>(more)};
 }
--- a/src/runlink/routing/harmful_request_test.cpp
+++ b/src/runlink/routing/harmful_request_test.cpp
@@ -11,7 +11,8 @@
 {
 
 const core::service_id service_name{"s"};
-constexpr milliseconds turn{400}; ///< within this time a suspected request gets its isolated run
+/// Within this time a suspected request gets its isolated run.
+constexpr milliseconds isolated_run_delay{400};
 
 /// A forwarder of one instance with several endpoints and a simulated clock.
 struct forwarder_under_test
@@ -20,30 +21,30 @@
     std::vector<attempt_order> starts;
     std::vector<core::attempt_id> cancelled;
     std::vector<refusal> refusals;
-    std::vector<core::endpoint_id> asked;
+    std::vector<core::endpoint_id> probed;
     std::vector<crashes::request_fingerprint> found;
-    request_forwarder it{{}, core::failure_domain_id{"north"}, core::instance_id{"i1"}, make_hooks()};
+    request_forwarder forwarder{{}, core::failure_domain_id{"north"}, core::instance_id{"i1"}, make_hooks()};
 
     explicit forwarder_under_test(int endpoints)
     {
-        route way;
-        way.name = "llm";
-        way.host = "h";
-        way.path_prefix = "/";
-        way.kind = route_kind::streaming;
-        way.resumable = true;
-        way.max_attempts = 4;
-        way.timeout = milliseconds{20000};
-        way.target_latency = milliseconds{4000};
-        way.services = {{service_name, 1}};
-        it.apply(std::make_shared<const routing_table>(1, std::vector{way},
-                                                       std::vector{service{service_name, 0, true, {}, {}}},
-                                                       std::vector<account>{}, caller_limits{}));
-        it.proven_current(now);
+        route llm_route;
+        llm_route.name = "llm";
+        llm_route.host = "h";
+        llm_route.path_prefix = "/";
+        llm_route.kind = route_kind::streaming;
+        llm_route.resumable = true;
+        llm_route.max_attempts = 4;
+        llm_route.timeout = milliseconds{20000};
+        llm_route.target_latency = milliseconds{4000};
+        llm_route.services = {{service_name, 1}};
+        forwarder.apply(std::make_shared<const routing_table>(
+            1, std::vector{llm_route}, std::vector{service{service_name, 0, true, {}, {}}},
+            std::vector<account>{}, caller_limits{}));
+        forwarder.proven_current(now);
         for (int n = 1; n <= endpoints; ++n)
-            it.on_endpoint(now, entry_of(n, 1));
-        it.keep_house(now);
-        pass(milliseconds{2000});
+            forwarder.on_endpoint(now, entry_of(n, 1));
+        forwarder.keep_house(now);
+        advance(milliseconds{2000});
     }
 
     static endpoint_entry entry_of(int n, std::uint64_t incarnation)
@@ -62,7 +63,7 @@
         forwarder_hooks out;
         out.start = [this](const attempt_order& e) { starts.push_back(e); };
         out.cancel = [this](core::attempt_id e) { cancelled.push_back(e); };
-        out.ask = [this](const endpoint_entry& e) { asked.push_back(e.id); };
+        out.ask = [this](const endpoint_entry& e) { probed.push_back(e.id); };
         out.forward_answer = [](flow_id, core::attempt_id) {};
         out.forward_head = [](flow_id, core::attempt_id) {};
         out.forward_bytes = [](flow_id, std::string_view) {};
@@ -78,10 +79,10 @@
         return out;
     }
 
-    void pass(milliseconds time)
+    void advance(milliseconds time)
     {
         for (const auto end = now + time; now < end; now += milliseconds{5})
-            it.tick(now);
+            forwarder.tick(now);
     }
 
     void request(std::uint64_t flow)
@@ -92,25 +93,25 @@
         in.path = "/x";
         in.content = crashes::content_hash{7};
         in.time_left = milliseconds{20000};
-        it.on_request(now, flow_id{flow}, in);
+        forwarder.on_request(now, flow_id{flow}, in);
     }
 
     /// Runs the latest attempt and breaks its connection.
     void run_and_break()
     {
         const auto id = starts.back().id;
-        it.on_sent(now, id);
-        pass(milliseconds{100});
-        it.on_lost(now, id, attempt_loss::broken);
+        forwarder.on_sent(now, id);
+        advance(milliseconds{100});
+        forwarder.on_lost(now, id, attempt_loss::broken);
     }
 
-    /// Like `run_and_break`, but the endpoint has also ended.
+    /// Like `run_and_break`, but a probe also finds that the endpoint has ended.
     void run_and_end()
     {
         const auto at = starts.back().endpoint.id;
         run_and_break();
-        it.on_asked(now, at, core::contact::refused);
-        pass(milliseconds{30});
+        forwarder.on_asked(now, at, core::contact::refused);
+        advance(milliseconds{30});
     }
 };
 
@@ -126,77 +127,77 @@
 // ended.
 TEST_CASE("a request becomes suspected by the loss of its own attempt")
 {
-    forwarder_under_test by{5};
-    by.request(1);
-    by.run_and_end();
-    REQUIRE(by.starts.size() == 2);
-    const auto second = by.starts.back().endpoint.id;
-    by.it.on_crash_news(by.now, {{{crashes::life_hash(second), {}}}, {}, {}});
-    by.run_and_break();
-    CHECK(by.starts.size() == 2); // held until its isolated run
-    by.pass(turn);
-    CHECK(by.starts.size() == 3);
-    CHECK(by.refusals.empty());
+    forwarder_under_test fixture{5};
+    fixture.request(1);
+    fixture.run_and_end();
+    REQUIRE(fixture.starts.size() == 2);
+    const auto second = fixture.starts.back().endpoint.id;
+    fixture.forwarder.on_crash_news(fixture.now, {{{crashes::life_hash(second), {}}}, {}, {}});
+    fixture.run_and_break();
+    CHECK(fixture.starts.size() == 2); // held until its isolated run
+    fixture.advance(isolated_run_delay);
+    CHECK(fixture.starts.size() == 3);
+    CHECK(fixture.refusals.empty());
 }
 
 TEST_CASE("two attempts of a suspected request at a restarted endpoint are both withdrawn")
 {
-    forwarder_under_test by{1};
-    by.request(1);
-    by.it.on_sent(by.now, by.starts.back().id);
-    by.request(2);
-    by.it.on_sent(by.now, by.starts.back().id);
-    by.it.on_crash_news(by.now,
-                        {{{crashes::endpoint_life{1}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
-    by.it.on_endpoint(by.now, forwarder_under_test::entry_of(1, 2));
-    by.pass(turn);
-    CHECK(by.refusals.empty());
+    forwarder_under_test fixture{1};
+    fixture.request(1);
+    fixture.forwarder.on_sent(fixture.now, fixture.starts.back().id);
+    fixture.request(2);
+    fixture.forwarder.on_sent(fixture.now, fixture.starts.back().id);
+    fixture.forwarder.on_crash_news(
+        fixture.now, {{{crashes::endpoint_life{1}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
+    fixture.forwarder.on_endpoint(fixture.now, forwarder_under_test::entry_of(1, 2));
+    fixture.advance(isolated_run_delay);
+    CHECK(fixture.refusals.empty());
 }
 
 TEST_CASE("a request found harmful is refused at once, and the refusal says whether it ran")
 {
-    forwarder_under_test by{6};
-    by.request(1);
-    by.run_and_end();
-    by.run_and_end();
-    by.pass(turn);
-    REQUIRE(by.starts.size() == 3);
-    by.run_and_end();
-    by.pass(turn);
-    CHECK(by.found == std::vector{fingerprint()});
-    REQUIRE(by.refusals.size() == 1);
-    CHECK(by.refusals.back().why.code == core::errc::request_harmful);
-    CHECK_FALSE(by.refusals.back().not_run); // this request ran at three endpoints
-    by.request(2);
-    REQUIRE(by.refusals.size() == 2);
-    CHECK(by.refusals.back().not_run);
-    CHECK(by.refusals.back().status == 503);
-    CHECK(by.refusals.back().why.retry_after > milliseconds{60000});
-    CHECK(by.starts.size() == 3);
+    forwarder_under_test fixture{6};
+    fixture.request(1);
+    fixture.run_and_end();
+    fixture.run_and_end();
+    fixture.advance(isolated_run_delay);
+    REQUIRE(fixture.starts.size() == 3);
+    fixture.run_and_end();
+    fixture.advance(isolated_run_delay);
+    CHECK(fixture.found == std::vector{fingerprint()});
+    REQUIRE(fixture.refusals.size() == 1);
+    CHECK(fixture.refusals.back().why.code == core::errc::request_harmful);
+    CHECK_FALSE(fixture.refusals.back().not_run); // this request ran at three endpoints
+    fixture.request(2);
+    REQUIRE(fixture.refusals.size() == 2);
+    CHECK(fixture.refusals.back().not_run);
+    CHECK(fixture.refusals.back().status == 503);
+    CHECK(fixture.refusals.back().why.retry_after > milliseconds{60000});
+    CHECK(fixture.starts.size() == 3);
 }
 
 TEST_CASE("copies queued at endpoints are withdrawn when their request becomes suspected")
 {
-    forwarder_under_test by{6};
-    by.request(1);
-    by.request(2);
-    by.it.on_sent(by.now, by.starts[0].id);
-    by.it.on_sent(by.now, by.starts[1].id);
+    forwarder_under_test fixture{6};
+    fixture.request(1);
+    fixture.request(2);
+    fixture.forwarder.on_sent(fixture.now, fixture.starts[0].id);
+    fixture.forwarder.on_sent(fixture.now, fixture.starts[1].id);
     for (std::uint64_t n = 1; n <= 2; ++n)
-        by.it.on_crash_news(by.now,
-                            {{{crashes::endpoint_life{n}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
-    by.pass(milliseconds{10});
-    CHECK(by.cancelled.size() == 2);
-    by.pass(turn);
-    CHECK(by.starts.size() == 3); // one copy at a time
+        fixture.forwarder.on_crash_news(
+            fixture.now, {{{crashes::endpoint_life{n}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
+    fixture.advance(milliseconds{10});
+    CHECK(fixture.cancelled.size() == 2);
+    fixture.advance(isolated_run_delay);
+    CHECK(fixture.starts.size() == 3); // one copy at a time
 }
 
 TEST_CASE(
     "no other request is sent to an endpoint that runs a suspected one, unless there is no other endpoint")
 {
-    forwarder_under_test by{2};
+    forwarder_under_test fixture{2};
     const auto at = forwarder_under_test::entry_of(1, 1).id;
-    by.it.on_crash_news(by.now, {{}, {{fingerprint(), crashes::life_hash(at)}}, {}});
+    fixture.forwarder.on_crash_news(fixture.now, {{}, {{fingerprint(), crashes::life_hash(at)}}, {}});
     for (std::uint64_t n = 1; n <= 4; ++n)
     {
         inbound_request in;
@@ -205,45 +206,45 @@
         in.path = "/x";
         in.content = crashes::content_hash{100 + n};
         in.time_left = milliseconds{20000};
-        by.it.on_request(by.now, flow_id{n}, in);
-        CHECK(by.starts.back().endpoint.id != at);
+        fixture.forwarder.on_request(fixture.now, flow_id{n}, in);
+        CHECK(fixture.starts.back().endpoint.id != at);
     }
-    by.it.endpoints().remove(by.now, core::endpoint_name{"e2"});
+    fixture.forwarder.endpoints().remove(fixture.now, core::endpoint_name{"e2"});
     inbound_request last;
     last.id = core::request_id{"last"};
     last.host = "h";
     last.path = "/x";
     last.content = crashes::content_hash{200};
     last.time_left = milliseconds{20000};
-    by.it.on_request(by.now, flow_id{9}, last);
-    CHECK(by.starts.back().endpoint.id == at);
+    fixture.forwarder.on_request(fixture.now, flow_id{9}, last);
+    CHECK(fixture.starts.back().endpoint.id == at);
 }
 
 TEST_CASE("the end of a resumed stream without an event of its own does not clear a suspected request")
 {
-    forwarder_under_test by{6};
-    by.request(1);
-    by.run_and_end();
-    by.run_and_end();
-    by.pass(turn);
-    const auto trial = by.starts.back().id;
-    by.it.on_sent(by.now, trial);
-    by.it.on_stream_head(by.now, trial, {200, false, true, true, {}});
-    by.it.on_stream_end(by.now, trial);
-    CHECK(by.it.attribution().standing_of(by.now, fingerprint()).ends == 2);
+    forwarder_under_test fixture{6};
+    fixture.request(1);
+    fixture.run_and_end();
+    fixture.run_and_end();
+    fixture.advance(isolated_run_delay);
+    const auto trial = fixture.starts.back().id;
+    fixture.forwarder.on_sent(fixture.now, trial);
+    fixture.forwarder.on_stream_head(fixture.now, trial, {200, false, true, true, {}});
+    fixture.forwarder.on_stream_end(fixture.now, trial);
+    CHECK(fixture.forwarder.attribution().standing_of(fixture.now, fingerprint()).ends == 2);
 }
 
 // Guards against clearing a harmful request by error answers: endpoints of a bad version answered it with 500
 // within milliseconds, which cleared it at every instance, and 40 endpoints ended where 5 would have.
 TEST_CASE("an error answer of an endpoint does not clear a suspected request")
 {
-    forwarder_under_test by{6};
-    by.request(1);
-    by.run_and_end();
-    by.run_and_end();
-    by.pass(turn);
-    const auto trial = by.starts.back().id;
-    by.it.on_sent(by.now, trial);
-    by.it.on_answer(by.now, trial, {500, false, true, false, {}});
-    CHECK(by.it.attribution().standing_of(by.now, fingerprint()).ends == 2);
+    forwarder_under_test fixture{6};
+    fixture.request(1);
+    fixture.run_and_end();
+    fixture.run_and_end();
+    fixture.advance(isolated_run_delay);
+    const auto trial = fixture.starts.back().id;
+    fixture.forwarder.on_sent(fixture.now, trial);
+    fixture.forwarder.on_answer(fixture.now, trial, {500, false, true, false, {}});
+    CHECK(fixture.forwarder.attribution().standing_of(fixture.now, fingerprint()).ends == 2);
 }
--- a/src/runlink/routing/liveness.cpp
+++ b/src/runlink/routing/liveness.cpp
@@ -3,7 +3,7 @@
 namespace runlink::routing
 {
 
-bool liveness::try_ask(time_point now, const endpoint_id& id)
+bool liveness::try_probe(time_point now, const endpoint_id& id)
 {
     auto& it = records_[id];
     const bool was_heard = it.heard != time_point::min() && now - it.heard < options_.ask_after;
--- a/src/runlink/routing/place_queue.cpp
+++ b/src/runlink/routing/place_queue.cpp
@@ -9,27 +9,27 @@
 {
 
 /// Longest time by which the retry of a caller is deferred behind other callers; capacity may return sooner.
-constexpr milliseconds longest_return{5000};
+constexpr milliseconds max_retry_deferral{5000};
 
 } // namespace
 
-std::optional<time_point> place_behind(std::size_t ahead, std::vector<opening> openings)
+std::optional<time_point> slot_behind(std::size_t ahead, std::vector<slot_series> slots)
 {
-    const auto later = [](const opening& a, const opening& b) { return a.first > b.first; };
-    std::make_heap(openings.begin(), openings.end(), later);
-    for (; !openings.empty(); --ahead)
+    const auto later = [](const slot_series& a, const slot_series& b) { return a.first > b.first; };
+    std::make_heap(slots.begin(), slots.end(), later);
+    for (; !slots.empty(); --ahead)
     {
-        std::pop_heap(openings.begin(), openings.end(), later);
-        auto& it = openings.back();
+        std::pop_heap(slots.begin(), slots.end(), later);
+        auto& it = slots.back();
         if (ahead == 0)
             return it.first;
         it.first += it.interval;
-        std::push_heap(openings.begin(), openings.end(), later);
+        std::push_heap(slots.begin(), slots.end(), later);
     }
     return std::nullopt;
 }
 
-void place_queue::remove(const service_id& service, const entry& it)
+void slot_queue::remove(const service_id& service, const entry& it)
 {
     const auto found = waiting_.find(service);
     if (found == waiting_.end())
@@ -39,7 +39,7 @@
         waiting_.erase(found);
 }
 
-std::vector<flow_id> place_queue::before(const service_id& service, const entry& it) const
+std::vector<flow_id> slot_queue::before(const service_id& service, const entry& it) const
 {
     std::vector<flow_id> out;
     const auto found = waiting_.find(service);
@@ -49,7 +49,7 @@
     return out;
 }
 
-std::size_t place_queue::count_before(const service_id& service, const entry& it) const
+std::size_t slot_queue::count_before(const service_id& service, const entry& it) const
 {
     const auto found = waiting_.find(service);
     if (found == waiting_.end())
@@ -58,7 +58,7 @@
     return static_cast<std::size_t>(std::distance(all.begin(), all.lower_bound(it)));
 }
 
-std::size_t place_queue::size() const
+std::size_t slot_queue::size() const
 {
     std::size_t out = 0;
     for (const auto& [service, all] : waiting_)
@@ -66,11 +66,11 @@
     return out;
 }
 
-time_point place_queue::assign_return(time_point now, const service_id& service, time_point first,
-                                      duration interval)
+time_point slot_queue::assign_retry_time(time_point now, const service_id& service, time_point first,
+                                         duration interval)
 {
-    auto& next = next_return_[service];
-    const auto out = std::min(std::max(first, next), std::max<time_point>(first, now + longest_return));
+    auto& next = next_retry_[service];
+    const auto out = std::min(std::max(first, next), std::max<time_point>(first, now + max_retry_deferral));
     next = out + interval;
     return out;
 }
--- a/src/runlink/routing/request_forwarder.cpp
+++ b/src/runlink/routing/request_forwarder.cpp
@@ -24,19 +24,19 @@
 {
     for (auto& [id, it] : flows_)
         if (!it.account.empty() && has_key(*table, it))
-            it.key_held_at.reset(); // the key may have been added again
-        else if (!it.account.empty() && !it.key_held_at)
-            it.key_held_at = proven_at_;
+            it.key_last_valid_at.reset(); // the key may have been added again
+        else if (!it.account.empty() && !it.key_last_valid_at)
+            it.key_last_valid_at = proven_at_;
     for (const auto& it : table->services())
         bounds_.warm_up().set_limit(it.id, it.cold);
     table_ = std::move(table);
-    may_release_ = true;
+    is_start_queue_ready_ = true;
 }
 
 void request_forwarder::proven_current(time_point sent_at)
 {
     proven_at_ = std::max(proven_at_.value_or(sent_at), sent_at);
-    may_release_ = true;
+    is_start_queue_ready_ = true;
 }
 
 std::optional<core::duration> request_forwarder::proof_age(time_point now) const
@@ -49,7 +49,7 @@
     return proven_at_ && now - *proven_at_ < max_age;
 }
 
-bool request_forwarder::keys_hold(time_point now) const
+bool request_forwarder::are_keys_proven(time_point now) const
 {
     return !options_.max_key_age || is_fresh(now, *options_.max_key_age);
 }
@@ -97,61 +97,63 @@
     return account != nullptr && account->id == it.account;
 }
 
-key_standing request_forwarder::key_of(time_point now, const flow& it) const
+key_state request_forwarder::key_state_of(time_point now, const flow& it) const
 {
-    const bool needs_key = table_->has_accounts() && !it.via->is_public;
+    const bool needs_key = table_->has_accounts() && !it.matched_route->is_public;
     if (!needs_key)
-        return key_standing::holds;
+        return key_state::valid;
     if (has_key(*table_, it))
-        return keys_hold(now) ? key_standing::holds : key_standing::unproven;
-    const bool is_in_grace = it.key_held_at && now - *it.key_held_at < options_.key_grace;
-    return is_in_grace ? key_standing::in_grace : key_standing::removed;
+        return are_keys_proven(now) ? key_state::valid : key_state::unproven;
+    const bool is_in_grace = it.key_last_valid_at && now - *it.key_last_valid_at < options_.key_grace;
+    return is_in_grace ? key_state::in_grace : key_state::removed;
 }
 
-milliseconds request_forwarder::key_gone_for(time_point now, const flow& it) const
+milliseconds request_forwarder::time_since_key_valid(time_point now, const flow& it) const
 {
-    return it.key_held_at ? std::chrono::floor<milliseconds>(now - *it.key_held_at) : milliseconds{-1};
+    return it.key_last_valid_at ? std::chrono::floor<milliseconds>(now - *it.key_last_valid_at)
+                                : milliseconds{-1};
 }
 
 std::size_t request_forwarder::count_without_key() const
 {
-    return static_cast<std::size_t>(std::count_if(
-        flows_.begin(), flows_.end(), [](const auto& it) { return it.second.key_held_at.has_value(); }));
+    return static_cast<std::size_t>(std::count_if(flows_.begin(), flows_.end(),
+                                                  [](const auto& it)
+                                                  { return it.second.key_last_valid_at.has_value(); }));
 }
 
-void request_forwarder::send(time_point now, flow& it, const successor& to)
+void request_forwarder::send(time_point now, flow& request_flow, const successor& to)
 {
     const auto& endpoint = *to.endpoint;
-    it.held_since.reset();
-    end_wait(it);
-    it.denied.reset();
-    it.leave_at.reset();
+    request_flow.held_since.reset();
+    end_wait(request_flow);
+    request_flow.denied.reset();
+    request_flow.replace_at.reset();
     attempt_order order;
     order.id = attempt_id{next_attempt_++};
-    order.flow = it.id;
-    order.request = it.request.id;
+    order.flow = request_flow.id;
+    order.request = request_flow.request.id;
     order.endpoint = endpoint;
-    order.account = it.account;
-    order.priority = it.priority;
-    order.time_left = std::chrono::floor<milliseconds>(it.deadline - now);
-    order.last_event = it.last_event;
-    const auto* service = table_->find_service(it.service);
+    order.account = request_flow.account;
+    order.priority = request_flow.priority;
+    order.time_left = std::chrono::floor<milliseconds>(request_flow.deadline - now);
+    order.last_event = request_flow.last_event;
+    const auto* service = table_->find_service(request_flow.service);
     order.runs_models = service != nullptr && service->runs_models;
-    order.fresh_connection = !it.via->is_idempotent();
-    order.model = model_of(it);
-    ++it.sends;
+    order.fresh_connection = !request_flow.matched_route->is_idempotent();
+    order.model = model_of(request_flow);
+    ++request_flow.sends;
     ++counters_.attempts;
-    it.tried.insert(endpoint.id);
-    it.attempts.insert(order.id);
-    it.last_progress = now;
-    it.ask_at = now + liveness_.options().ask_after;
+    request_flow.tried.insert(endpoint.id);
+    request_flow.attempts.insert(order.id);
+    request_flow.last_progress = now;
+    request_flow.probe_at = now + liveness_.options().ask_after;
     attempt record;
-    record.flow = it.id;
+    record.flow = request_flow.id;
     record.endpoint = endpoint.id;
     record.name = endpoint.name;
     record.version = endpoint.version;
     record.model = order.model;
-    record.number = it.sends;
+    record.number = request_flow.sends;
     record.started = now;
     record.is_trial = to.is_trial;
     record.prompt = place_prompt(now, endpoint, to.prompt);
@@ -167,29 +169,29 @@
     if (to.is_trial)
     {
         ++counters_.trials;
-        attribution_.begin_trial(now, it.fingerprint, crashes::life_hash(endpoint.id));
+        attribution_.begin_trial(now, request_flow.fingerprint, crashes::life_hash(endpoint.id));
     }
-    log_dispatched(now, it, order, record);
+    log_dispatched(now, request_flow, order, record);
     attempts_.emplace(order.id, std::move(record));
     hooks_.start(order);
 }
 
 void request_forwarder::log_dispatched(time_point now, const flow& it, const attempt_order& order,
-                                       const attempt& as)
+                                       const attempt& sent)
 {
     auto line = describe(now, it, "dispatched");
-    line.endpoint = as.endpoint.str();
-    line.version = as.version.str();
-    line.model = as.model.str();
+    line.endpoint = sent.endpoint.str();
+    line.version = sent.version.str();
+    line.model = sent.model.str();
     line.session = it.request.session.str();
     line.content = to_hex(it.fingerprint);
-    line.reason = as.is_trial ? "trial" : "";
-    line.attempt = as.number;
+    line.reason = sent.is_trial ? "trial" : "";
+    line.attempt = sent.number;
     line.time_left_ms = order.time_left.count();
-    if (as.prompt)
+    if (sent.prompt)
     {
-        line.expected_wait_ms = std::chrono::floor<milliseconds>(as.prompt->wait).count();
-        line.expected_read_ms = std::chrono::floor<milliseconds>(as.prompt->work).count();
+        line.expected_wait_ms = std::chrono::floor<milliseconds>(sent.prompt->wait).count();
+        line.expected_read_ms = std::chrono::floor<milliseconds>(sent.prompt->work).count();
     }
     hooks_.log(line);
 }
@@ -200,13 +202,14 @@
     if (found == attempts_.end())
         return false;
     const auto& it = found->second;
-    const bool may = !has_left(now, it.endpoint) && bounds_.try_keep(now, it.endpoint, it.started);
+    const bool may =
+        !is_excluded_as_leaving(now, it.endpoint) && bounds_.try_keep(now, it.endpoint, it.started);
     if (!may)
         ++counters_.withheld;
     return may;
 }
 
-bool request_forwarder::has_left(time_point now, const endpoint_id& id) const
+bool request_forwarder::is_excluded_as_leaving(time_point now, const endpoint_id& id) const
 {
     return endpoints_.leaving_marks().contains(id) && !endpoints_.is_last_resort(now, id);
 }
@@ -285,7 +288,7 @@
     out.service = it.service;
     out.version = from.version;
     out.endpoint = from.endpoint;
-    out.group = {it.via->name, from.model};
+    out.group = {it.matched_route->name, from.model};
     out.expected = from.expected;
     return out;
 }
--- a/src/runlink/routing/request_forwarder_answers.cpp
+++ b/src/runlink/routing/request_forwarder_answers.cpp
@@ -40,8 +40,8 @@
 
 void request_forwarder::on_answer(time_point now, attempt_id id, const attempt_head& head)
 {
-    auto* it = find(id);
-    if (it == nullptr)
+    auto* request_flow = find(id);
+    if (request_flow == nullptr)
         return;
     const bool refused = head.not_run || head.status == status_misdirected;
     const bool is_invalid = is_success(head.status) && !head.is_sealed;
@@ -49,10 +49,10 @@
     // An endpoint may fail at once without running the request, so an error does not clear a suspected
     // request.
     if (!refused && !is_bad)
-        attribution_.on_answered(now, it->fingerprint);
+        attribution_.on_answered(now, request_flow->fingerprint);
     auto from = take_attempt(now, id);
     liveness_.heard(now, from->endpoint);
-    auto line = describe(now, *it, refused ? "endpoint_refused" : "endpoint_answered");
+    auto line = describe(now, *request_flow, refused ? "endpoint_refused" : "endpoint_answered");
     line.endpoint = from->endpoint.str();
     line.version = from->version.str();
     line.status = head.status;
@@ -62,30 +62,30 @@
     {
         ++counters_.endpoint_refusals;
         if (from->may_have_run)
-            --it->runs;
+            --request_flow->runs;
         chooser_.refused(now, from->endpoint);
-        return again_or_end(now, *it, core::errc::endpoint_refused, true);
+        return retry_or_end(now, *request_flow, core::errc::endpoint_refused, true);
     }
     bounds_.rests().took(from->endpoint, from->started);
-    sample_end(now, *it, *from, is_bad);
+    sample_end(now, *request_flow, *from, is_bad);
     if (!is_bad)
         chooser_.answered(from->endpoint);
     if (is_invalid)
     {
         chooser_.broke(now, from->endpoint);
-        return again_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
+        return retry_or_end(now, *request_flow, core::errc::endpoint_answer_invalid, true);
     }
-    if (is_bad && !it->attempts.empty() && !it->head_forwarded)
+    if (is_bad && !request_flow->attempts.empty() && !request_flow->head_forwarded)
         return; // another attempt is active
-    if (it->head_forwarded)
-        return again_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
-    if (is_bad && it->via->is_idempotent())
-        if (const auto next = plan(now, *it, true))
-            return repeat(now, *it, next.value(), true);
-    cancel_attempts(now, *it);
+    if (request_flow->head_forwarded)
+        return retry_or_end(now, *request_flow, core::errc::endpoint_answer_invalid, true);
+    if (is_bad && request_flow->matched_route->is_idempotent())
+        if (const auto next = plan_successor(now, *request_flow, true))
+            return send_retry(now, *request_flow, next.value(), true);
+    cancel_attempts(now, *request_flow);
     ++counters_.answered;
-    hooks_.forward_answer(it->id, id);
-    finish(now, *it, "answered", head.status);
+    hooks_.forward_answer(request_flow->id, id);
+    finish(now, *request_flow, "answered", head.status);
 }
 
 // Streams
@@ -99,16 +99,16 @@
     from.has_ended = false;
     liveness_.heard(now, from.endpoint);
     bounds_.rests().took(from.endpoint, from.started);
-    it->ask_at = now + liveness_.options().ask_after;
+    it->probe_at = now + liveness_.options().ask_after;
     if (!head.is_sealed)
     {
         sample_end(now, *it, from, true);
         chooser_.broke(now, from.endpoint);
         take_attempt(now, id);
         hooks_.cancel(id);
-        return again_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
+        return retry_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
     }
-    prompt_read(now, from);
+    on_prompt_read(now, from);
     it->last_progress = now;
     sample_head(now, *it, from);
     if (it->head_forwarded)
@@ -130,11 +130,11 @@
                                                   const succession& larger)
 {
     cascade_input out;
-    out.size = it.size;
-    out.sizes = it.via->model_sizes.size();
+    out.size = it.model_index;
+    out.sizes = it.matched_route->model_sizes.size();
     out.confidence = confidence;
     out.elapsed = now - it.arrived;
-    out.target_latency = it.via->target_latency;
+    out.target_latency = it.matched_route->target_latency;
     out.may_retry = larger.has_value();
     if (!larger || !larger.value().prompt)
         return out;
@@ -146,16 +146,16 @@
 
 bool request_forwarder::try_escalate(time_point now, flow& it, attempt_id from, int confidence)
 {
-    const bool has_larger = it.size + 1 < it.via->model_sizes.size();
+    const bool has_larger = it.model_index + 1 < it.matched_route->model_sizes.size();
     if (!has_larger || !it.request.model.empty())
         return false;
     auto larger = it;
-    larger.size = it.via->model_sizes.size() - 1;
-    larger.tried.clear(); // another model may be kept at the same endpoint
-    const auto next = plan(now, larger, true);
+    larger.model_index = it.matched_route->model_sizes.size() - 1;
+    larger.tried.clear(); // the same endpoint may run the larger model
+    const auto next = plan_successor(now, larger, true);
     const auto in = cascade_input_of(now, it, confidence, next);
     if (!next && confidence < cascade_.threshold(in))
-        note_denied(now, it, next.error(), "not_escalated");
+        log_denial(now, it, next.error(), "not_escalated");
     if (cascade_.accepts(in))
         return false;
     auto line = describe(now, it, "escalated");
@@ -165,9 +165,9 @@
     ++counters_.escalated;
     take_attempt(now, from);
     hooks_.cancel(from);
-    it.size = larger.size;
+    it.model_index = larger.model_index;
     it.tried.clear();
-    repeat(now, it, next.value(), true);
+    send_retry(now, it, next.value(), true);
     return true;
 }
 
@@ -185,7 +185,7 @@
     from.is_stalled = false;
     liveness_.heard(now, from.endpoint);
     it->last_progress = now;
-    it->ask_at = now + liveness_.options().ask_after;
+    it->probe_at = now + liveness_.options().ask_after;
     cancel_others(now, *it, id);
     if (event_id && it->last_event && *event_id <= *it->last_event)
         return; // the caller already has this event
@@ -221,15 +221,15 @@
         return;
     const bool is_unsent = loss != attempt_loss::broken;
     if (!is_unsent)
-        note_broken(now, *it, attempts_.at(id), true);
+        report_broken(now, *it, attempts_.at(id), true);
     const auto endpoint = attempts_.at(id).endpoint;
-    note_lost(now, id, loss);
-    again_or_end(now, *it, core::errc::endpoint_lost, !is_unsent);
+    record_loss(now, id, loss);
+    retry_or_end(now, *it, core::errc::endpoint_lost, !is_unsent);
     if (loss == attempt_loss::not_sent)
         replace_silent_attempts(now, endpoint, false);
 }
 
-void request_forwarder::note_lost(time_point now, attempt_id id, attempt_loss loss)
+void request_forwarder::record_loss(time_point now, attempt_id id, attempt_loss loss)
 {
     auto from = take_attempt(now, id);
     auto& it = flows_.at(from->flow);
@@ -247,7 +247,7 @@
     if (loss == attempt_loss::not_sent)
     {
         chooser_.not_reached(now, from->endpoint);
-        return suspect_unreachable(now, from->endpoint);
+        return mark_unreachable_cold(now, from->endpoint);
     }
     sample_end(now, it, *from, true);
     chooser_.broke(now, from->endpoint);
@@ -272,7 +272,8 @@
     refusal out;
     out.not_run = it.runs == 0;
     out.why = {why, it.service.str(),
-               it.denied == succession_denial::no_endpoint ? return_time(now, it) : retry_after(now, it)};
+               it.denied == succession_denial::no_endpoint ? slot_retry_after(now, it)
+                                                           : retry_after(now, it)};
     if (out.not_run)
         ++counters_.refused;
     else
@@ -309,7 +310,7 @@
     out.event = event;
     out.request = it.request.id.str();
     out.account = it.account.str();
-    out.route = it.via == nullptr ? std::string{} : it.via->name;
+    out.route = it.matched_route == nullptr ? std::string{} : it.matched_route->name;
     out.elapsed_ms = std::chrono::floor<milliseconds>(now - it.arrived).count();
     if (proven_at_)
         out.proof_age_ms = std::chrono::floor<milliseconds>(now - *proven_at_).count();
--- a/src/runlink/routing/request_forwarder_arrival.cpp
+++ b/src/runlink/routing/request_forwarder_arrival.cpp
@@ -24,7 +24,7 @@
     ++counters_.requests;
     const auto arrived = paused_since_.value_or(now);
     if (is_started(now) || !start_queue_.try_hold(now, arrived, id, request))
-        take(now, arrived, id, std::move(request));
+        start_flow(now, arrived, id, std::move(request));
 }
 
 void request_forwarder::on_wake(time_point now, time_point since)
@@ -36,17 +36,17 @@
 
 bool request_forwarder::is_started(time_point now) const
 {
-    return table_ && (!table_->has_accounts() || keys_hold(now));
+    return table_ && (!table_->has_accounts() || are_keys_proven(now));
 }
 
-void request_forwarder::take_held(time_point now)
+void request_forwarder::process_start_queue(time_point now)
 {
-    const bool all = std::exchange(may_release_, false) && is_started(now);
+    const bool all = std::exchange(is_start_queue_ready_, false) && is_started(now);
     for (auto& it : all ? start_queue_.take_all() : start_queue_.take_due(now))
-        take(now, it.arrived, it.id, std::move(it.request));
+        start_flow(now, it.arrived, it.id, std::move(it.request));
 }
 
-void request_forwarder::take(time_point now, time_point arrived, flow_id id, inbound_request request)
+void request_forwarder::start_flow(time_point now, time_point arrived, flow_id id, inbound_request request)
 {
     flow it;
     it.id = id;
@@ -68,13 +68,13 @@
     }
     auto& kept = flows_.emplace(id, std::move(it)).first->second;
     retries_.try_emplace(kept.service, options_.retries).first->second.on_first(now);
-    const auto first = plan(now, kept, false);
+    const auto first = plan_successor(now, kept, false);
     if (first)
         send(now, kept, first.value());
     else if (first.error() == succession_denial::suspected)
         hold(now, kept);
     else if (first.error() == succession_denial::no_endpoint && may_wait(now, kept))
-        wait_for_place(now, kept);
+        wait_for_slot(now, kept);
     else
     {
         kept.denied = first.error();
@@ -84,49 +84,50 @@
     arm(kept, next_check(kept));
 }
 
-std::optional<refusal> request_forwarder::admit(time_point now, flow& it)
+std::optional<refusal> request_forwarder::admit(time_point now, flow& request_flow)
 {
     const auto unavailable = [&](core::errc code, std::string detail) {
-        return refusal{status_unavailable, true, {code, std::move(detail), retry_after(now, it)}};
+        return refusal{status_unavailable, true, {code, std::move(detail), retry_after(now, request_flow)}};
     };
     if (!table_)
         return unavailable(core::errc::not_ready, "configuration");
-    it.via = table_->find_route(it.request.host, it.request.path);
-    if (it.via == nullptr)
+    request_flow.matched_route = table_->find_route(request_flow.request.host, request_flow.request.path);
+    if (request_flow.matched_route == nullptr)
     {
         // An outdated table may lack a route that was added recently.
         if (!is_fresh(now, options_.max_denial_age))
             return unavailable(core::errc::cut_off, "route");
         return refusal{status_not_found, true, {core::errc::unknown_service, "route"}};
     }
-    if (auto why = check_key(now, it))
+    if (auto why = check_key(now, request_flow))
         return why;
-    it.deadline = it.arrived + std::min(it.request.time_left, it.via->timeout);
-    const auto time = std::chrono::floor<milliseconds>(it.deadline - now);
+    request_flow.deadline =
+        request_flow.arrived + std::min(request_flow.request.time_left, request_flow.matched_route->timeout);
+    const auto time = std::chrono::floor<milliseconds>(request_flow.deadline - now);
     if (time <= options_.least_time)
         return unavailable(core::errc::deadline_exceeded, "arrival");
-    if (stop_ && now >= stop_->closed_from && it.deadline > stop_->end)
+    if (stop_ && now >= stop_->closed_from && request_flow.deadline > stop_->end)
         return unavailable(core::errc::stopping, "instance");
-    it.fingerprint = crashes::fingerprint_of(it.request.content, it.account);
-    if (attribution_.judge(now, it.fingerprint) == crashes::permission::refused)
+    request_flow.fingerprint = crashes::fingerprint_of(request_flow.request.content, request_flow.account);
+    if (attribution_.judge(now, request_flow.fingerprint) == crashes::permission::refused)
     {
         ++counters_.harmful_refused;
         return unavailable(core::errc::request_harmful, "content");
     }
-    place(it);
-    const auto expected = expect(now, it);
+    assign_service(request_flow);
+    const auto expected = expected_prompt(now, request_flow);
     if (!expected)
         return std::nullopt;
     const auto come_back =
-        admission_.refuse_for(expected->wait, time, core::stable_hash(it.request.id.str()));
+        admission_.refuse_for(expected->wait, time, core::stable_hash(request_flow.request.id.str()));
     if (!come_back)
         return std::nullopt;
     return refusal{status_unavailable, true, {core::errc::overloaded, "backlog", come_back}};
 }
 
-std::optional<placed_prompt> request_forwarder::expect(time_point now, const flow& it) const
+std::optional<placed_prompt> request_forwarder::expected_prompt(time_point now, const flow& it) const
 {
-    if (it.request.prompt_tokens == 0 || it.via == nullptr || it.service.empty())
+    if (it.request.prompt_tokens == 0 || it.matched_route == nullptr || it.service.empty())
         return std::nullopt;
     const auto need = need_of(now, it);
     const auto* endpoint = chooser_.peek(now, endpoints_, need);
@@ -140,20 +141,20 @@
     // A retry before this time would be refused again.
     if (const auto left = attribution_.refused_for(now, it.fingerprint); left > duration{})
         return std::chrono::ceil<milliseconds>(left);
-    const auto expected = expect(now, it);
-    const auto wait = expected ? expected->wait : it.service.empty() ? duration{} : time_to_place(now, it);
+    const auto expected = expected_prompt(now, it);
+    const auto wait = expected ? expected->wait : it.service.empty() ? duration{} : time_to_slot(now, it);
     return admission_.retry_after(wait, core::stable_hash(it.request.id.str()));
 }
 
 std::optional<refusal> request_forwarder::check_key(time_point now, flow& it)
 {
-    it.priority = it.via->priority;
+    it.priority = it.matched_route->priority;
     const auto* account = it.request.key.empty() ? nullptr : table_->find_account(it.request.key);
-    const bool needs_key = table_->has_accounts() && !it.via->is_public;
+    const bool needs_key = table_->has_accounts() && !it.matched_route->is_public;
     if (needs_key)
     {
         const refusal stale{status_unavailable, true, {core::errc::cut_off, "keys", retry_after(now, it)}};
-        if (!keys_hold(now))
+        if (!are_keys_proven(now))
             return stale;
         if (account == nullptr && !is_fresh(now, options_.max_denial_age))
             return stale;
@@ -169,7 +170,7 @@
     return std::nullopt;
 }
 
-void request_forwarder::place(flow& it) const
+void request_forwarder::assign_service(flow& it) const
 {
     const auto& request = it.request;
     const auto& name = request.session.empty() ? request.id.str() : request.session.str();
@@ -181,13 +182,13 @@
         it.shared_tokens += request.prompt[n].tokens;
     }
     it.last_event = request.last_event;
-    if (!it.via->model_sizes.empty() && request.model.empty())
-        it.size = cascade_.first_size(*it.via);
+    if (!it.matched_route->model_sizes.empty() && request.model.empty())
+        it.model_index = cascade_.first_size(*it.matched_route);
     std::uint64_t sum = 0;
-    for (const auto& e : it.via->services)
+    for (const auto& e : it.matched_route->services)
         sum += e.weight;
     auto rest = sum == 0 ? 0 : core::stable_hash(name, 1) % sum;
-    for (const auto& e : it.via->services)
+    for (const auto& e : it.matched_route->services)
     {
         it.service = e.service;
         if (rest < e.weight)
@@ -214,15 +215,16 @@
     prompt.shared_tokens = std::min(it.shared_tokens, it.request.prompt_tokens);
     prompt.own_tokens = it.request.prompt_tokens - prompt.shared_tokens;
     prompt.request_bytes = it.request.body_bytes;
-    prompt.time_to_target = it.arrived + it.via->target_latency - now;
+    prompt.time_to_target = it.arrived + it.matched_route->target_latency - now;
     out.prompt = prompt;
     return out;
 }
 
 model_id request_forwarder::model_of(const flow& it) const
 {
-    return it.via->model_sizes.empty() || !it.request.model.empty() ? model_id{}
-                                                                    : it.via->model_sizes[it.size];
+    return it.matched_route->model_sizes.empty() || !it.request.model.empty()
+               ? model_id{}
+               : it.matched_route->model_sizes[it.model_index];
 }
 
 std::optional<placed_prompt> request_forwarder::place_prompt(time_point now, const endpoint_entry& to,
@@ -239,7 +241,7 @@
     return out;
 }
 
-void request_forwarder::prompt_read(time_point now, attempt& it)
+void request_forwarder::on_prompt_read(time_point now, attempt& it)
 {
     if (!it.prompt)
         return;
--- a/src/runlink/routing/request_forwarder_crashes.cpp
+++ b/src/runlink/routing/request_forwarder_crashes.cpp
@@ -39,7 +39,8 @@
 
 // Ends of endpoints
 
-void request_forwarder::note_broken(time_point now, const flow& it, const attempt& from, bool asks_endpoint)
+void request_forwarder::report_broken(time_point now, const flow& it, const attempt& from,
+                                      bool probes_endpoint)
 {
     const auto* endpoint = endpoints_.find(from.endpoint);
     // A leaving endpoint may end as planned.
@@ -47,11 +48,12 @@
         return;
     const bool is_first =
         attribution_.on_broken(now, it.fingerprint, crashes::life_hash(from.endpoint), from.started);
-    if (is_first && asks_endpoint && endpoint != nullptr && !evacuations_.contains(endpoint->failure_domain))
+    if (is_first && probes_endpoint && endpoint != nullptr &&
+        !evacuations_.contains(endpoint->failure_domain))
         hooks_.ask(*endpoint);
 }
 
-void request_forwarder::note_ended(time_point now, const endpoint_id& id, std::string_view how)
+void request_forwarder::report_endpoint_ended(time_point now, const endpoint_id& id, std::string_view how)
 {
     ++counters_.endpoints_ended;
     decision line;
@@ -71,12 +73,12 @@
     if (endpoint == nullptr)
         return;
     chooser_.not_reached(now, endpoint->id);
-    suspect_unreachable(now, endpoint->id);
+    mark_unreachable_cold(now, endpoint->id);
 }
 
 // Suspected requests
 
-void request_forwarder::keep_apart(time_point now, endpoint_need& need, bool is_trial) const
+void request_forwarder::isolate_suspects(time_point now, endpoint_need& need, bool is_trial) const
 {
     const auto taken = attribution_.on_trial(now);
     if (!is_trial && taken.empty())
@@ -105,23 +107,23 @@
     it.last_progress = now;
 }
 
-void request_forwarder::release(time_point now, flow& it)
+void request_forwarder::recheck_held(time_point now, flow& it)
 {
     const bool costs_allowance = it.sends > it.unsent;
-    const auto next = plan(now, it, costs_allowance);
+    const auto next = plan_successor(now, it, costs_allowance);
     if (next && it.sends > 0)
-        return repeat(now, it, next.value(), costs_allowance);
+        return send_retry(now, it, next.value(), costs_allowance);
     if (next)
     {
         send(now, it, next.value());
         return arm(it, next_check(it));
     }
-    const bool waits_for_place = next.error() == succession_denial::no_endpoint && may_wait(now, it);
+    const bool waits_for_slot = next.error() == succession_denial::no_endpoint && may_wait(now, it);
     const bool waits_for_turn =
         next.error() == succession_denial::suspected || next.error() == succession_denial::allowance_spent;
-    if (waits_for_place)
-        wait_for_place(now, it);
-    if (waits_for_place || (waits_for_turn && now - *it.held_since < options_.most_hold))
+    if (waits_for_slot)
+        wait_for_slot(now, it);
+    if (waits_for_slot || (waits_for_turn && now - *it.held_since < options_.most_hold))
     {
         it.last_progress = now;
         return arm(it, next_check(it));
@@ -145,7 +147,7 @@
     return out;
 }
 
-void request_forwarder::settle_verdicts(time_point now)
+void request_forwarder::apply_verdicts(time_point now)
 {
     for (const auto it : std::exchange(suspected_, {}))
         withdraw_copies(now, it);
@@ -165,15 +167,15 @@
         const bool has_begun =
             std::any_of(e.attempts.begin(), e.attempts.end(),
                         [this](auto n) { return attempts_.at(n).has_head || attempts_.at(n).is_trial; });
-        if (e.attempts.empty() || has_begun || !e.via->is_idempotent())
+        if (e.attempts.empty() || has_begun || !e.matched_route->is_idempotent())
             continue;
-        const auto next = plan(now, e, true);
+        const auto next = plan_successor(now, e, true);
         const bool waits = !next && next.error() == succession_denial::suspected;
         // A plan denied as `suspected` has not looked for an endpoint yet.
         const bool has_place = !waits || chooser_.peek(now, endpoints_, need_of(now, e)) != nullptr;
         if (!has_place || (!next && !waits))
         {
-            note_denied(now, e, has_place ? next.error() : succession_denial::no_endpoint, "not_withdrawn");
+            log_denial(now, e, has_place ? next.error() : succession_denial::no_endpoint, "not_withdrawn");
             continue;
         }
         for (const auto n : e.attempts)
@@ -187,17 +189,17 @@
 void request_forwarder::end_copies(time_point now, crashes::request_fingerprint it)
 {
     for (const auto id : flows_of(it))
-        if (auto& e = flows_.at(id); !is_beyond_verdict(e))
+        if (auto& e = flows_.at(id); !is_exempt_from_verdict(e))
             end_without_answer(now, e, core::errc::request_harmful);
 }
 
-bool request_forwarder::is_beyond_verdict(const flow& it) const
+bool request_forwarder::is_exempt_from_verdict(const flow& it) const
 {
     // An answer that has begun is evidence that the request is harmless, and the verdict may be wrong.
     const auto is_beyond = [&](attempt_id id)
     {
         const auto& e = attempts_.at(id);
-        return e.has_head || (e.may_have_run && !it.via->is_idempotent());
+        return e.has_head || (e.may_have_run && !it.matched_route->is_idempotent());
     };
     return it.head_forwarded || std::any_of(it.attempts.begin(), it.attempts.end(), is_beyond);
 }
--- a/src/runlink/routing/request_forwarder_endpoints.cpp
+++ b/src/runlink/routing/request_forwarder_endpoints.cpp
@@ -39,7 +39,7 @@
     std::set<endpoint_id> ended;
     for (const auto& [id, e] : attempts_)
         if (e.name == it.name && e.endpoint != it.id && e.may_have_run &&
-            flows_.at(e.flow).via->is_idempotent())
+            flows_.at(e.flow).matched_route->is_idempotent())
         {
             old.push_back(id);
             ended.insert(e.endpoint);
@@ -47,7 +47,7 @@
     for (const auto id : old)
         replace(now, id, true);
     for (const auto& id : ended)
-        note_ended(now, id, "later_life");
+        report_endpoint_ended(now, id, "later_life");
 }
 
 // Evacuations
@@ -85,21 +85,21 @@
     hooks_.log(line);
     // Its endpoints may have become cold shortly before, and their entries say so only later.
     for (const auto* it : endpoints_.of_domain(domain))
-        suspect(now, *it, places::cold_reason::readmitted);
+        mark_suspected_cold(now, *it, places::cold_reason::readmitted);
 }
 
 // Cold endpoints
 
-void request_forwarder::suspect(time_point now, const endpoint_entry& it, places::cold_reason why)
+void request_forwarder::mark_suspected_cold(time_point now, const endpoint_entry& it, places::cold_reason why)
 {
     if (bounds_.warm_up().suspect(now, it.id, it.service, why))
         log_cold(now, it, why);
 }
 
-void request_forwarder::suspect_unreachable(time_point now, const endpoint_id& id)
+void request_forwarder::mark_unreachable_cold(time_point now, const endpoint_id& id)
 {
     if (const auto* it = endpoints_.find(id))
-        suspect(now, *it, places::cold_reason::unreachable);
+        mark_suspected_cold(now, *it, places::cold_reason::unreachable);
 }
 
 void request_forwarder::log_cold(time_point now, const endpoint_entry& it, places::cold_reason why)
@@ -123,7 +123,7 @@
 bool request_forwarder::is_allowed(const flow& it, const endpoint_entry& to) const
 {
     const auto& domain = to.failure_domain;
-    return !evacuations_.contains(domain) && options_.regions.allows(domain, it.via->regions) &&
+    return !evacuations_.contains(domain) && options_.regions.allows(domain, it.matched_route->regions) &&
            (it.owner == nullptr || options_.regions.allows(domain, it.owner->regions));
 }
 
@@ -132,7 +132,7 @@
     return is_allowed(it, to) && bounds_.may_send(now, to.id) && !is_outranked(it, to);
 }
 
-duration request_forwarder::time_to_place(time_point now, const flow& it) const
+duration request_forwarder::time_to_slot(time_point now, const flow& it) const
 {
     auto first = time_point::max();
     for (const auto* e : endpoints_.usable(now, it.service))
--- a/src/runlink/routing/request_forwarder_places.cpp
+++ b/src/runlink/routing/request_forwarder_places.cpp
@@ -14,7 +14,7 @@
 {
     if (!bounds_.is_restricted(at.id))
         return false;
-    for (const auto id : place_queue_.before(it.service, place_of(it)))
+    for (const auto id : slot_queue_.before(it.service, queue_entry_of(it)))
     {
         const auto& other = flows_.at(id);
         if (!other.tried.contains(at.id) && is_allowed(other, at))
@@ -23,12 +23,13 @@
     return false;
 }
 
-std::vector<opening> request_forwarder::openings(time_point now, const flow& it, sender whose) const
+std::vector<slot_series> request_forwarder::restricted_slots(time_point now, const flow& it,
+                                                             sender whose) const
 {
     auto need = need_of(now, it);
     need.may_use = [this, &it](const endpoint_entry& e)
     { return is_allowed(it, e) && bounds_.is_restricted(e.id); };
-    std::vector<opening> out;
+    std::vector<slot_series> out;
     for (const auto* e : chooser_.fitting(now, endpoints_, need))
     {
         const auto first =
@@ -40,40 +41,41 @@
 
 bool request_forwarder::may_wait(time_point now, const flow& it) const
 {
-    const auto open = openings(now, it, sender::self);
-    const auto at = place_behind(place_queue_.count_before(it.service, place_of(it)), open);
-    const auto late_at = it.head_forwarded ? it.held_since.value_or(it.last_progress) + it.via->target_gap
-                                           : it.arrived + it.via->target_latency;
+    const auto open = restricted_slots(now, it, sender::self);
+    const auto at = slot_behind(slot_queue_.count_before(it.service, queue_entry_of(it)), open);
+    const auto late_at = it.head_forwarded
+                             ? it.held_since.value_or(it.last_progress) + it.matched_route->target_gap
+                             : it.arrived + it.matched_route->target_latency;
     return at && *at < std::min<time_point>(late_at, it.deadline - options_.least_time);
 }
 
-void request_forwarder::wait_for_place(time_point now, flow& it)
+void request_forwarder::wait_for_slot(time_point now, flow& it)
 {
     hold(now, it);
-    if (std::exchange(it.waits_for_place, true))
+    if (std::exchange(it.waits_for_slot, true))
         return;
     ++counters_.waited;
-    place_queue_.add(it.service, place_of(it));
+    slot_queue_.add(it.service, queue_entry_of(it));
 }
 
 void request_forwarder::end_wait(flow& it)
 {
-    if (std::exchange(it.waits_for_place, false))
-        place_queue_.remove(it.service, place_of(it));
+    if (std::exchange(it.waits_for_slot, false))
+        slot_queue_.remove(it.service, queue_entry_of(it));
 }
 
-milliseconds request_forwarder::return_time(time_point now, const flow& it)
+milliseconds request_forwarder::slot_retry_after(time_point now, const flow& it)
 {
-    const auto open = openings(now, it, sender::any);
-    const auto at = place_behind(place_queue_.count_before(it.service, place_of(it)), open);
+    const auto open = restricted_slots(now, it, sender::any);
+    const auto at = slot_behind(slot_queue_.count_before(it.service, queue_entry_of(it)), open);
     if (!at)
         return retry_after(now, it);
     double per_us = 0;
     for (const auto& e : open)
         per_us += 1.0 / static_cast<double>(std::max<duration::rep>(e.interval.count(), 1));
     const duration interval{static_cast<duration::rep>(1.0 / per_us)};
-    const auto to = place_queue_.assign_return(now, it.service, *at, interval);
-    return admission_.return_after(to - now, core::stable_hash(it.request.id.str()));
+    const auto to = slot_queue_.assign_retry_time(now, it.service, *at, interval);
+    return admission_.uncapped_retry_after(to - now, core::stable_hash(it.request.id.str()));
 }
 
 } // namespace runlink::routing
--- a/src/runlink/routing/request_forwarder_succession.cpp
+++ b/src/runlink/routing/request_forwarder_succession.cpp
@@ -8,7 +8,7 @@
 namespace runlink::routing
 {
 
-crashes::permission request_forwarder::content_of(time_point now, const flow& it) const
+crashes::permission request_forwarder::content_permission(time_point now, const flow& it) const
 {
     // An isolated run does not block its own successor: if the run hangs it is replaced, because all copies
     // of the request wait for it.
@@ -27,28 +27,28 @@
         runs += attempts_.at(id).may_have_run ? 0 : 1;
     const auto left = [](std::uint32_t of, std::uint32_t used) { return of > used ? of - used : 0; };
     succession_input out;
-    out.may_repeat = it.via->is_idempotent() || runs == 0;
-    out.runs_left = left(std::max(it.via->max_attempts, 1U), runs);
-    out.sends_left =
-        std::min(left(options_.max_sends, it.sends - it.unsent), left(options_.max_unsent, it.unsent));
+    out.may_repeat = it.matched_route->is_idempotent() || runs == 0;
+    out.runs_left = left(std::max(it.matched_route->max_attempts, 1U), runs);
+    out.sends_left = std::min(left(options_.max_sends, it.sends - it.unsent),
+                              left(options_.max_unsent_attempts, it.unsent));
     out.time_left = it.deadline - now;
     out.least_time = options_.least_time;
-    out.key = key_of(now, it);
-    out.content = content_of(now, it);
+    out.key = key_state_of(now, it);
+    out.content = content_permission(now, it);
     out.costs_allowance = costs_allowance;
     out.allowance_left = retries_.at(it.service).left(now);
     return out;
 }
 
-succession request_forwarder::plan(time_point now, const flow& it, bool costs_allowance)
+succession request_forwarder::plan_successor(time_point now, const flow& it, bool costs_allowance)
 {
     const auto in = input_of(now, it, costs_allowance);
-    if (const auto why = judge(in))
+    if (const auto why = find_denial(in))
         return *why;
     successor out;
     out.is_trial = in.content == crashes::permission::alone;
     auto need = need_of(now, it);
-    keep_apart(now, need, out.is_trial);
+    isolate_suspects(now, need, out.is_trial);
     out.endpoint = chooser_.peek(now, endpoints_, need);
     if (out.endpoint == nullptr)
         return succession_denial::no_endpoint;
@@ -56,7 +56,7 @@
     return out;
 }
 
-void request_forwarder::repeat(time_point now, flow& it, const successor& to, bool costs_allowance)
+void request_forwarder::send_retry(time_point now, flow& it, const successor& to, bool costs_allowance)
 {
     if (costs_allowance)
         retries_.at(it.service).try_take(now);
@@ -72,14 +72,14 @@
     auto& from = attempts_.at(id);
     auto& it = flows_.at(from.flow);
     // The loss may end the use of its version, so it is counted before the next endpoint is chosen.
-    if (plan(now, it, true))
+    if (plan_successor(now, it, true))
         sample_end(now, it, from, true);
-    const auto next = plan(now, it, true);
+    const auto next = plan_successor(now, it, true);
     if (!next)
         return next.error();
     hooks_.cancel(id);
-    note_lost(now, id, attempt_loss::broken);
-    repeat(now, it, next.value(), true);
+    record_loss(now, id, attempt_loss::broken);
+    send_retry(now, it, next.value(), true);
     return std::nullopt;
 }
 
@@ -90,22 +90,22 @@
         return;
     auto& it = flows_.at(found->second.flow);
     if (has_ended)
-        note_broken(now, it, found->second, false);
+        report_broken(now, it, found->second, false);
     const auto why = try_replace(now, id);
     if (!why)
         return;
-    if (has_ended && passes(*why))
+    if (has_ended && is_temporary(*why))
     {
         attempts_.at(id).has_ended = true;
-        it.leave_at = now + options_.leave_interval;
+        it.replace_at = now + options_.replace_interval;
         arm(it, next_check(it));
     }
-    note_denied(now, it, *why, "not_replaced");
+    log_denial(now, it, *why, "not_replaced");
 }
 
-void request_forwarder::leave_ended(time_point now, flow& it)
+void request_forwarder::replace_ended(time_point now, flow& it)
 {
-    it.leave_at.reset();
+    it.replace_at.reset();
     const auto all = it.attempts;
     for (const auto id : all)
     {
@@ -114,13 +114,13 @@
         const auto why = try_replace(now, id);
         if (!why)
             return;
-        if (passes(*why))
-            it.leave_at = now + options_.leave_interval;
+        if (is_temporary(*why))
+            it.replace_at = now + options_.replace_interval;
     }
     arm(it, next_check(it));
 }
 
-void request_forwarder::again_or_end(time_point now, flow& it, core::errc why, bool costs_allowance)
+void request_forwarder::retry_or_end(time_point now, flow& it, core::errc why, bool costs_allowance)
 {
     if (!it.attempts.empty())
     {
@@ -131,9 +131,9 @@
             move_with_last_attempt(now, it);
         return;
     }
-    const auto next = plan(now, it, costs_allowance);
+    const auto next = plan_successor(now, it, costs_allowance);
     if (next)
-        return repeat(now, it, next.value(), costs_allowance);
+        return send_retry(now, it, next.value(), costs_allowance);
     if (next.error() == succession_denial::suspected)
     {
         hold(now, it);
@@ -141,7 +141,7 @@
     }
     if (next.error() == succession_denial::no_endpoint && may_wait(now, it))
     {
-        wait_for_place(now, it);
+        wait_for_slot(now, it);
         return arm(it, next_check(it));
     }
     it.denied = next.error();
@@ -149,7 +149,7 @@
     end_without_answer(now, it, is_spent ? core::errc::overloaded : why);
 }
 
-void request_forwarder::note_denied(time_point now, flow& it, succession_denial why, std::string_view event)
+void request_forwarder::log_denial(time_point now, flow& it, succession_denial why, std::string_view event)
 {
     it.denied = why;
     ++counters_.successors_denied;
@@ -166,16 +166,16 @@
     if (!it.denied)
         return;
     to.denied = to_string(*it.denied);
-    to.key_gone_ms = key_gone_for(now, it).count();
+    to.key_gone_ms = time_since_key_valid(now, it).count();
     to.allowance_left = static_cast<std::int64_t>(std::max(retries_.at(it.service).left(now), 0.0));
     to.endpoints_fitting =
         static_cast<std::int64_t>(chooser_.fitting(now, endpoints_, need_of(now, it)).size());
-    const auto limited = openings(now, it, sender::any);
+    const auto limited = restricted_slots(now, it, sender::any);
     if (limited.empty())
         return;
     to.endpoints_limited = static_cast<std::int64_t>(limited.size());
     to.endpoints_resting = static_cast<std::int64_t>(bounds_.rests().count_resting(now));
-    if (const auto at = place_behind(place_queue_.count_before(it.service, place_of(it)), limited))
+    if (const auto at = slot_behind(slot_queue_.count_before(it.service, queue_entry_of(it)), limited))
         to.place_ms = std::chrono::ceil<milliseconds>(*at - now).count();
 }
 
--- a/src/runlink/routing/start_queue.cpp
+++ b/src/runlink/routing/start_queue.cpp
@@ -9,9 +9,9 @@
 
 bool start_queue::try_hold(time_point now, time_point arrived, flow_id id, inbound_request& request)
 {
-    if (!open_until_ || now >= *open_until_ || queue_.size() >= options_.most)
+    if (!open_until_ || now >= *open_until_ || queue_.size() >= options_.max_requests)
         return false;
-    const auto part = static_cast<double>(request.time_left.count()) * options_.part_of_time_left;
+    const auto part = static_cast<double>(request.time_left.count()) * options_.time_left_share;
     const auto wait = std::min(options_.longest_wait, milliseconds{static_cast<milliseconds::rep>(part)});
     queue_.push_back({id, arrived, std::min(now + wait, *open_until_), std::move(request)});
     return true;
@@ -19,21 +19,23 @@
 
 bool start_queue::drop(flow_id id)
 {
-    return std::erase_if(queue_, [&](const held& it) { return it.id == id; }) > 0;
+    return std::erase_if(queue_, [&](const queued_request& it) { return it.id == id; }) > 0;
 }
 
-std::vector<start_queue::held> start_queue::take_all()
+std::vector<start_queue::queued_request> start_queue::take_all()
 {
-    std::vector<held> out{std::make_move_iterator(queue_.begin()), std::make_move_iterator(queue_.end())};
+    std::vector<queued_request> out{std::make_move_iterator(queue_.begin()),
+                                    std::make_move_iterator(queue_.end())};
     queue_.clear();
     return out;
 }
 
-std::vector<start_queue::held> start_queue::take_due(time_point now)
+std::vector<start_queue::queued_request> start_queue::take_due(time_point now)
 {
-    const auto is_waiting = [&](const held& it) { return now < it.due; };
+    const auto is_waiting = [&](const queued_request& it) { return now < it.due; };
     const auto first_due = std::stable_partition(queue_.begin(), queue_.end(), is_waiting);
-    std::vector<held> out{std::make_move_iterator(first_due), std::make_move_iterator(queue_.end())};
+    std::vector<queued_request> out{std::make_move_iterator(first_due),
+                                    std::make_move_iterator(queue_.end())};
     queue_.erase(first_due, queue_.end());
     return out;
 }
--- a/src/runlink/routing/succession.cpp
+++ b/src/runlink/routing/succession.cpp
@@ -21,13 +21,13 @@
     return {};
 }
 
-bool passes(succession_denial it)
+bool is_temporary(succession_denial it)
 {
     return it == succession_denial::proof_too_old || it == succession_denial::allowance_spent ||
            it == succession_denial::suspected || it == succession_denial::no_endpoint;
 }
 
-std::optional<succession_denial> judge(const succession_input& it)
+std::optional<succession_denial> find_denial(const succession_input& it)
 {
     if (!it.may_repeat)
         return succession_denial::may_run_once;
@@ -35,9 +35,9 @@
         return succession_denial::attempts_spent;
     if (it.time_left <= it.least_time)
         return succession_denial::time_spent;
-    if (it.key == key_standing::removed)
+    if (it.key == key_state::removed)
         return succession_denial::key_removed;
-    if (it.key == key_standing::unproven)
+    if (it.key == key_state::unproven)
         return succession_denial::proof_too_old;
     if (it.content == crashes::permission::refused)
         return succession_denial::harmful;
