--- a/src/runlink/routing/request_forwarder_crashes.cpp
+++ b/src/runlink/routing/request_forwarder_crashes.cpp
@@ -1,4 +1,4 @@
-// What is done about requests under which endpoints end.
+// Handling of requests that crash endpoints.
 
 #include <algorithm>
 #include <chrono>
@@ -39,19 +39,21 @@
 
 // Ends of endpoints
 
-void request_forwarder::note_broken(time_point now, const flow& it, const attempt& from, bool asks_endpoint)
+void request_forwarder::report_broken(time_point now, const flow& it, const attempt& from,
+                                      bool probes_endpoint)
 {
     const auto* endpoint = endpoints_.find(from.endpoint);
-    // An endpoint that leaves may end as planned.
+    // A leaving endpoint may end as planned.
     if (!from.may_have_run || endpoints_.is_leaving(from.endpoint))
         return;
     const bool is_first =
         attribution_.on_broken(now, it.fingerprint, crashes::life_hash(from.endpoint), from.started);
-    if (is_first && asks_endpoint && endpoint != nullptr && !evacuations_.contains(endpoint->failure_domain))
+    if (is_first && probes_endpoint && endpoint != nullptr &&
+        !evacuations_.contains(endpoint->failure_domain))
         hooks_.ask(*endpoint);
 }
 
-void request_forwarder::note_ended(time_point now, const endpoint_id& id, std::string_view how)
+void request_forwarder::report_endpoint_ended(time_point now, const endpoint_id& id, std::string_view how)
 {
     ++counters_.endpoints_ended;
     decision line;
@@ -64,18 +66,19 @@
 
 void request_forwarder::on_endpoint_ended(time_point now, crashes::endpoint_life it)
 {
-    // Its entry is listed for seconds; without this each instance finds out by a request of its own.
+    // The endpoint's entry stays listed for seconds. Without this, each instance would find out by losing a
+    // request of its own.
     const auto* endpoint =
         endpoints_.find_if([&](const endpoint_entry& e) { return crashes::life_hash(e.id) == it; });
     if (endpoint == nullptr)
         return;
     chooser_.not_reached(now, endpoint->id);
-    suspect_unreachable(now, endpoint->id);
+    mark_unreachable_cold(now, endpoint->id);
 }
 
 // Suspected requests
 
-void request_forwarder::keep_apart(time_point now, endpoint_need& need, bool is_trial) const
+void request_forwarder::isolate_suspects(time_point now, endpoint_need& need, bool is_trial) const
 {
     const auto taken = attribution_.on_trial(now);
     if (!is_trial && taken.empty())
@@ -92,7 +95,7 @@
         narrowed.may_use = [this, least, before = narrowed.may_use](const endpoint_entry& it)
         { return before(it) && chooser_.in_flight(it.id) <= least; };
     }
-    // Where every endpoint is on trial, requests go on nevertheless.
+    // If every endpoint has an isolated run, requests are sent without this restriction.
     if (chooser_.peek(now, endpoints_, narrowed) != nullptr)
         need = std::move(narrowed);
 }
@@ -104,23 +107,23 @@
     it.last_progress = now;
 }
 
-void request_forwarder::release(time_point now, flow& it)
+void request_forwarder::recheck_held(time_point now, flow& it)
 {
     const bool costs_allowance = it.sends > it.unsent;
-    const auto next = plan(now, it, costs_allowance);
+    const auto next = plan_successor(now, it, costs_allowance);
     if (next && it.sends > 0)
-        return repeat(now, it, next.value(), costs_allowance);
+        return send_retry(now, it, next.value(), costs_allowance);
     if (next)
     {
         send(now, it, next.value());
         return arm(it, next_check(it));
     }
-    const bool waits_for_place = next.error() == succession_denial::no_endpoint && may_wait(now, it);
+    const bool waits_for_slot = next.error() == succession_denial::no_endpoint && may_wait(now, it);
     const bool waits_for_turn =
         next.error() == succession_denial::suspected || next.error() == succession_denial::allowance_spent;
-    if (waits_for_place)
-        wait_for_place(now, it);
-    if (waits_for_place || (waits_for_turn && now - *it.held_since < options_.most_hold))
+    if (waits_for_slot)
+        wait_for_slot(now, it);
+    if (waits_for_slot || (waits_for_turn && now - *it.held_since < options_.most_hold))
     {
         it.last_progress = now;
         return arm(it, next_check(it));
@@ -144,7 +147,7 @@
     return out;
 }
 
-void request_forwarder::settle_verdicts(time_point now)
+void request_forwarder::apply_verdicts(time_point now)
 {
     for (const auto it : std::exchange(suspected_, {}))
         withdraw_copies(now, it);
@@ -154,29 +157,29 @@
 
 void request_forwarder::withdraw_copies(time_point now, crashes::request_fingerprint it)
 {
-    // An answer or a finding of another instance may have cleared it meanwhile.
+    // An answer, or a finding of another instance, may have cleared the request in the meantime.
     if (attribution_.judge(now, it) == crashes::permission::free)
         return;
-    // Copies that wait at endpoints would each end one. One that was tried meanwhile is no such copy.
+    // Each copy that is queued at an endpoint could crash that endpoint. A copy in an isolated run is kept.
     for (const auto id : flows_of(it))
     {
         auto& e = flows_.at(id);
         const bool has_begun =
             std::any_of(e.attempts.begin(), e.attempts.end(),
                         [this](auto n) { return attempts_.at(n).has_head || attempts_.at(n).is_trial; });
-        if (e.attempts.empty() || has_begun || !e.via->is_idempotent())
+        if (e.attempts.empty() || has_begun || !e.matched_route->is_idempotent())
             continue;
-        const auto next = plan(now, e, true);
+        const auto next = plan_successor(now, e, true);
         const bool waits = !next && next.error() == succession_denial::suspected;
-        // A plan that waits for its turn has not looked for an endpoint.
+        // A plan denied as `suspected` has not looked for an endpoint yet.
         const bool has_place = !waits || chooser_.peek(now, endpoints_, need_of(now, e)) != nullptr;
         if (!has_place || (!next && !waits))
         {
-            note_denied(now, e, has_place ? next.error() : succession_denial::no_endpoint, "not_withdrawn");
+            log_denial(now, e, has_place ? next.error() : succession_denial::no_endpoint, "not_withdrawn");
             continue;
         }
         for (const auto n : e.attempts)
-            e.tried.erase(attempts_.at(n).endpoint); // it may be tried there
+            e.tried.erase(attempts_.at(n).endpoint); // the isolated run may use this endpoint
         cancel_attempts(now, e);
         hold(now, e);
         arm(e, next_check(e));
@@ -186,17 +189,17 @@
 void request_forwarder::end_copies(time_point now, crashes::request_fingerprint it)
 {
     for (const auto id : flows_of(it))
-        if (auto& e = flows_.at(id); !is_beyond_verdict(e))
+        if (auto& e = flows_.at(id); !is_exempt_from_verdict(e))
             end_without_answer(now, e, core::errc::request_harmful);
 }
 
-bool request_forwarder::is_beyond_verdict(const flow& it) const
+bool request_forwarder::is_exempt_from_verdict(const flow& it) const
 {
-    // An answer under way is evidence for its request, and a verdict may be wrong.
+    // An answer that has begun is evidence that the request is harmless, and the verdict may be wrong.
     const auto is_beyond = [&](attempt_id id)
     {
         const auto& e = attempts_.at(id);
-        return e.has_head || (e.may_have_run && !it.via->is_idempotent());
+        return e.has_head || (e.may_have_run && !it.matched_route->is_idempotent());
     };
     return it.head_forwarded || std::any_of(it.attempts.begin(), it.attempts.end(), is_beyond);
 }
