--- a/include/runlink/places/endpoint_bounds.hpp
+++ b/include/runlink/places/endpoint_bounds.hpp
@@ -4,8 +4,8 @@
 
 #include <utility>
 
+#include "runlink/places/advertised_limits.hpp"
 #include "runlink/places/endpoint_rests.hpp"
-#include "runlink/places/named_limits.hpp"
 #include "runlink/places/warm_up.hpp"
 
 namespace runlink::places
--- a/include/runlink/proto/gossip_codec.hpp
+++ b/include/runlink/proto/gossip_codec.hpp
@@ -8,7 +8,7 @@
 
 #include "runlink/control/relay.hpp"
 #include "runlink/crashes/crash_messages.hpp"
-#include "runlink/places/named_limits.hpp"
+#include "runlink/places/advertised_limits.hpp"
 #include "runlink/routing/gossip_messages.hpp"
 #include "runlink/routing/load_digest.hpp"
 
--- a/include/runlink/routing/forwarder_hooks.hpp
+++ b/include/runlink/routing/forwarder_hooks.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "runlink/crashes/crash_messages.hpp"
-#include "runlink/places/named_limits.hpp"
+#include "runlink/places/advertised_limits.hpp"
 #include "runlink/routing/gossip_messages.hpp"
 #include "runlink/routing/messages.hpp"
 
--- a/src/runlink/places/named_limits.cpp
+++ b/src/runlink/places/advertised_limits.cpp
@@ -1,4 +1,4 @@
-#include "runlink/places/named_limits.hpp"
+#include "runlink/places/advertised_limits.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/src/runlink/places/named_limits_test.cpp
+++ b/src/runlink/places/advertised_limits_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "runlink/places/named_limits.hpp"
+#include "runlink/places/advertised_limits.hpp"
 
 using namespace runlink;
 using namespace runlink::places;
