--- a/include/runlink/crashes/crash_attribution.hpp
+++ b/include/runlink/crashes/crash_attribution.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the request under which endpoints end, among all that were cut with them.
+/// Finds the request that crashes endpoints among all requests that ran on them when they ended.
 #pragma once
 
 #include <chrono>
@@ -27,85 +27,93 @@
 /// Parameters of the attribution.
 struct attribution_options
 {
-    /// Endpoints that ended under a request, after which it runs only alone and one copy at a time.
-    std::size_t ends_to_suspect = 2;
-    /// Suspects are tried by one instance at a time: each waits for a part of this that its name gives.
+    /// Number of endpoints that have to end while they run a request before it is suspected. A suspected
+    /// request runs only as a trial: on an endpoint of its own, one copy at a time across all instances.
+    std::size_t suspect_threshold = 2;
+    /// Upper bound of the delay before a trial. Each instance derives its delay from its id, so that one
+    /// instance at a time tries a suspected request.
     milliseconds turn_spread{300};
-    /// The owner of a trial tells of it this often; without a word for `trial_silence` it counts as lost.
+    /// Interval at which the instance that runs a trial announces it.
     milliseconds trial_interval{500};
+    /// A trial of another instance counts as lost if no announcement arrives for this long.
     milliseconds trial_silence{1600};
-    /// After the end of a trial's endpoint reports of others are waited for: another suspect may have been
-    /// there.
+    /// Time between the end of a trial's endpoint and the verdict. Reports of other instances may arrive
+    /// meanwhile and show that another suspect ran on that endpoint.
     milliseconds verdict_delay{120};
-    /// A request whose trials brought no finding so often is taken for harmful: each may have cost an
-    /// endpoint.
-    std::uint32_t most_trials = 4;
-    /// A request is convicted where endpoints that end by chance, at the rate seen lately, would make an
-    /// instance with as many requests convict one of them no more often than this. A long stream is cut
-    /// several times where endpoints come and go, and among many requests some are cut as often as is next to
-    /// impossible for each; many instances judge.
-    std::chrono::hours one_wrong_in{2400};
-    /// A broken connection is explained by then, or counts as no end of an endpoint.
+    /// Number of inconclusive trials after which a request counts as harmful, because each trial may have
+    /// cost an endpoint.
+    std::uint32_t max_trials = 4;
+    /// Minimum expected time between false findings of one instance, given its number of requests and the
+    /// recent rate at which endpoints end. A trial finds a request harmful only if this bound holds. Where
+    /// endpoints come and go, a long stream is interrupted several times by chance. Among many requests, some
+    /// are interrupted as often as is very unlikely for any single one. Many instances decide independently.
+    std::chrono::hours false_positive_interval{2400};
+    /// A broken connection counts as the end of its endpoint only if that end is confirmed within this time.
     milliseconds explanation_time{1500};
-    /// Ends that are seen within this time are told together.
-    milliseconds gather{10};
-    /// Where more endpoints end at one moment under the requests of one instance, no request is the cause,
-    /// and none is told or counted: a version that is stopped, or the loss of a failure domain. All instances
-    /// telling all others of each would take their links.
-    std::size_t most_ends_at_once = 16;
-    /// How long a harmful request is refused. Then it is tried once more: a later version may bear it.
+    /// Ends of endpoints that are seen within this time are reported in one message.
+    milliseconds report_batch_window{10};
+    /// If more endpoints than this end at once while they run requests of this instance, the cause is not a
+    /// request but a version that is stopped or the loss of a failure domain. These ends are neither counted
+    /// nor reported: reports of each end from all instances to all others would saturate their links.
+    std::size_t max_simultaneous_ends = 16;
+    /// How long a harmful request is refused. It then gets one more trial, because a later version of the
+    /// endpoints may handle it.
     core::seconds harmful_for{600};
-    /// How long ends are remembered.
-    core::seconds memory{600};
-    /// Findings, and the ends that they explain, are told again after these times: datagrams may be lost.
-    std::vector<milliseconds> told_again{milliseconds{200}, milliseconds{1000}};
-    /// An answer of this instance clears a request that others suspect within this time of it.
+    /// How long a request's record is kept after the latest end of an endpoint under it.
+    core::seconds record_retention{600};
+    /// Delays after which a finding, and the reports of ends that it explains, are sent again, because
+    /// datagrams may be lost.
+    std::vector<milliseconds> resend_delays{milliseconds{200}, milliseconds{1000}};
+    /// A complete answer at this instance clears a request that becomes suspected within this time after it.
     milliseconds answer_holds{2000};
-    std::size_t most_requests = 1024;
-    std::size_t most_answered = 1024;
-    std::size_t most_lives = 512; ///< endpoints of which it is remembered that they ended, and why
+    std::size_t max_tracked_requests = 1024;
+    std::size_t max_answered_requests = 1024;
+    std::size_t max_tracked_endpoints =
+        512; ///< ended endpoints to remember, and separately those ended by a harmful request
 };
 
-/// What may be done with a request now.
+/// Whether a request may be sent now.
 enum class permission
 {
-    free,
-    waits,   ///< it is suspected, and another copy runs or will run before it
-    alone,   ///< it is suspected, and may run now as a trial
-    refused, ///< endpoints end under it
+    free,    ///< it is not suspected
+    waits,   ///< it is or may become suspected, and its turn for a trial has not come
+    alone,   ///< it is suspected and may run now as a trial
+    refused, ///< it is harmful: it makes endpoints end
 };
 
-/// What an instance believes of a request, for the log.
-struct standing
+/// The evidence that an instance has against a request, for the log.
+struct suspicion
 {
-    std::size_t ends = 0; ///< endpoints that ended under it
-    duration age{};       ///< since the latest end
+    std::size_t ends = 0; ///< endpoints that ended while they ran it
+    duration age{};       ///< since the latest of these ends
     std::uint32_t trials = 0;
 };
 
-/// Puts together which requests ran at endpoints when these ended, over all instances.
+/// Combines the reports of all instances on which requests ran on endpoints that ended.
 ///
-/// Answers a request that ends each endpoint that runs it and that its caller repeats at any instance: the
-/// bound on the attempts of one request does not hold it, since each repeat is a new one. Its runs are cut
-/// beside dozens of others, so that counting alone would condemn those as well. A request that was there
-/// twice is suspected. It is run once more, one copy at a time over all instances, where least else is cut:
-/// a whole answer clears it, and another end convicts it. An end that a harmful request explains counts
-/// against no other.
+/// Protects against a request that crashes every endpoint that runs it and that its caller repeats at any
+/// instance. The bound on the attempts of one request does not stop it, because each repetition is a new
+/// request. Dozens of other requests are interrupted together with it, so counting alone would also blame
+/// those. A request that was running on two endpoints when they ended is suspected. It then runs as a trial,
+/// one copy at a time across all instances, where few other requests can be interrupted: a complete answer
+/// clears it, and another end proves it harmful. An end that is attributed to a harmful request does not
+/// count against any other request.
 ///
-/// A broken connection alone is no end of an endpoint: its address must refuse connections, or another life
-/// must have taken its place. A request that was answered whole after an attempt began did not end that
-/// attempt's endpoint.
+/// A broken connection alone does not show that an endpoint ended: its address must refuse connections, or a
+/// restarted endpoint with a new id must have taken its place. A request that was answered completely after
+/// an attempt began did not end that attempt's endpoint.
 class crash_attribution
 {
 public:
     struct hooks
     {
+        /// Sends a message to all other instances.
         std::function<void(const crash_news&)> tell = [](const auto&) {};
-        /// An endpoint has ended, as this instance or another one saw.
+        /// This instance or another one saw that an endpoint ended.
         std::function<void(time_point, endpoint_life)> ended = [](auto, auto) {};
-        /// Attempts of the request that have not begun are to be withdrawn, and wait.
+        /// The request is now suspected. Attempts of it that have not begun have to be withdrawn and wait.
         std::function<void(time_point, request_fingerprint)> suspected = [](auto, auto) {};
-        /// No attempt of the request may go on. `is_own`: this instance found it.
+        /// The request is harmful: all its attempts have to be cancelled. `is_own`: found by this instance.
         std::function<void(time_point, request_fingerprint, bool is_own)> condemned = [](auto, auto, bool) {};
     };
 
@@ -114,42 +122,48 @@
     crash_attribution& operator=(const crash_attribution&) = delete;
 
     const attribution_options& options() const { return options_; }
+    /// Whether the request may be sent now, and how.
     permission judge(time_point now, request_fingerprint it) const;
-    standing standing_of(time_point now, request_fingerprint it) const;
-    /// Until a harmful request may be tried again.
+    suspicion standing_of(time_point now, request_fingerprint it) const;
+    /// Time left until a harmful request may get another trial; zero for any other request.
     duration refused_for(time_point now, request_fingerprint it) const;
-    /// Endpoints that run a suspected request: nothing else should go there.
+    /// Endpoints that run a suspected request; no other request should be sent to them.
     std::set<endpoint_life> on_trial(time_point now) const;
 
-    /// A suspected request goes to an endpoint, alone.
+    /// This instance sends a suspected request to an endpoint as a trial.
     void begin_trial(time_point now, request_fingerprint it, endpoint_life at);
-    /// The trial of this instance ended without a finding. `has_reached`: its endpoint may have run it.
+    /// The trial of this instance ended without a result. `has_reached`: its endpoint may have run the
+    /// request; if false, the trial does not count towards `max_trials`.
     void end_trial(time_point now, request_fingerprint it, endpoint_life at, bool has_reached);
-    /// Whether the trial of this instance may go on at another endpoint: nothing shows that the one it is at
-    /// has ended, and another trial is left.
+    /// Whether this instance may repeat its trial on another endpoint: nothing suggests that the current
+    /// endpoint has ended, and the number of trials is below `max_trials`.
     bool may_hand_on(request_fingerprint it) const;
-    /// A connection broke on which a request ran that had been sent then. Returns whether the endpoint should
-    /// be asked.
+    /// The connection broke on which a request ran that was sent at `sent_at`. Returns whether the caller
+    /// should check if the endpoint still accepts connections.
     bool on_broken(time_point now, request_fingerprint it, endpoint_life at, time_point sent_at);
-    /// The endpoint of broken connections lives, or cannot be reached: nothing shows that it ended.
+    /// An endpoint whose connections broke is alive or cannot be reached, so nothing shows that it ended.
     void on_not_ended(time_point now, endpoint_life at);
-    /// The endpoint has ended.
+    /// The endpoint has certainly ended.
     void on_ended(time_point now, endpoint_life at);
-    /// A request was answered whole.
+    /// A request got a complete answer at this instance.
     void on_answered(time_point now, request_fingerprint it);
+    /// Handles a message of another instance.
     void on_news(time_point now, const crash_news& it);
 
-    /// The store has, or has no more, the finding that a request is harmful.
+    /// The store lists the request as harmful.
     void on_recorded(time_point now, request_fingerprint it);
+    /// The store no longer lists the request as harmful.
     void on_unrecorded(time_point now, request_fingerprint it);
-    /// Findings in the store whose time is over.
+    /// Requests that the store still lists as harmful after `harmful_for`; returns each of them once.
     std::vector<request_fingerprint> take_expired(time_point now);
 
+    /// Sends and decides what is due.
     void tick(time_point now);
+    /// When `tick` has to be called next; nothing if no work is pending.
     std::optional<time_point> next_due() const;
-    /// Forgets what is old; about once a second.
+    /// Removes outdated records; call it about once a second.
     void expire(time_point now);
-    /// How many endpoints there are, from which their rate of ends follows.
+    /// Sets the current number of endpoints, which is needed to estimate the rate at which they end.
     void watch(time_point now, std::size_t endpoints) { rate_.watch(now, endpoints); }
     std::size_t size() const { return records_.size(); }
 
@@ -158,35 +172,35 @@
     {
         endpoint_life endpoint;
         bool is_own = false;
-        time_point heard{};                   ///< the last word of its owner
-        bool has_ended = false;               ///< its endpoint, since it began
-        std::optional<time_point> verdict_at; ///< what became of it is known by then
+        time_point last_notice_at{};          ///< when its owner announced it last
+        bool has_ended = false;               ///< whether its endpoint has ended
+        std::optional<time_point> verdict_at; ///< when to decide on its outcome
     };
     struct record
     {
-        std::map<endpoint_life, duration> ends; ///< and how long it had been there
-        std::set<endpoint_life> own_ends;       ///< of these: it ran there for this instance
-        time_point latest{};
-        std::optional<time_point> turn_at; ///< of this instance; set while suspected
-        std::optional<trial> now_tried;
+        std::map<endpoint_life, duration> ends; ///< ended endpoints, and how long the request had run there
+        std::set<endpoint_life> own_ends;       ///< those of `ends` where it ran for this instance
+        time_point latest_end_at{};
+        std::optional<time_point> next_trial_at; ///< at this instance; set while suspected
+        std::optional<trial> active_trial;
         std::uint32_t trials = 0;
-        std::optional<endpoint_life> trial_end; ///< the latest endpoint that ended under a trial
+        std::optional<endpoint_life> trial_end; ///< the latest endpoint that ended during a trial
         std::optional<time_point> harmful_until;
-        bool is_recorded = false;  ///< in the store
-        bool on_probation = false; ///< it was harmful, a long time ago
+        bool is_recorded = false;  ///< whether the store lists it as harmful
+        bool on_probation = false; ///< refused for `harmful_for`; has to pass another trial
     };
-    struct broken_run
+    struct interrupted_attempt
     {
         request_fingerprint request;
         time_point sent_at{};
     };
-    struct unexplained_loss
+    struct unconfirmed_loss
     {
         time_point at{};
-        bool has_ended = false; ///< the endpoint, which is to be told
-        std::vector<broken_run> runs;
+        bool has_ended = false; ///< the end of the endpoint is confirmed but not yet reported
+        std::vector<interrupted_attempt> attempts;
     };
-    struct repeated_news
+    struct scheduled_resend
     {
         time_point at{};
         crash_news what;
@@ -196,46 +210,47 @@
     const record* find(request_fingerprint it) const;
     record& at(time_point now, request_fingerprint it);
     bool is_suspect(const record& it) const;
-    bool is_tried(time_point now, const record& it) const;
-    std::size_t unexplained_ends(request_fingerprint it) const;
-    /// Tells and counts the ends that were gathered.
+    bool has_active_trial(time_point now, const record& it) const;
+    std::size_t count_unconfirmed_losses(request_fingerprint it) const;
+    /// Reports and counts the ends of the current batch.
     void flush_ends(time_point now);
-    crash_report report_of(time_point now, endpoint_life ended, const unexplained_loss& it) const;
+    crash_report report_of(time_point now, endpoint_life ended, const unconfirmed_loss& it) const;
     bool answered_since(request_fingerprint it, time_point when) const;
-    duration turn_delay(request_fingerprint it) const;
-    void count(time_point now, endpoint_life ended, const std::vector<cut_run>& running);
-    void count_one(time_point now, endpoint_life ended, const cut_run& of);
-    void decide(time_point now, request_fingerprint it, bool has_reached);
+    duration trial_delay(request_fingerprint it) const;
+    void record_end(time_point now, endpoint_life ended, const std::vector<cut_run>& running);
+    void record_end_under(time_point now, endpoint_life ended, const cut_run& of);
+    void conclude_trial(time_point now, request_fingerprint it, bool has_reached);
     bool is_beyond_chance(time_point now, request_fingerprint it) const;
-    /// Ends that other suspects have probably caused: endpoints ended under their trials.
+    /// Ends probably caused by other suspects, namely by those with an endpoint that ended during a trial.
     std::set<endpoint_life> ends_by_others(request_fingerprint than) const;
     bool other_suspect_was_at(request_fingerprint it, endpoint_life where) const;
-    void begin_turn(time_point now, request_fingerprint it, record& of);
-    void drop_trial(request_fingerprint it, record& of);
-    void hear_trial(time_point now, const trial_notice& it);
-    void condemn(time_point now, request_fingerprint it, bool is_own);
-    void explain(endpoint_life by_harmful);
+    void schedule_trial(time_point now, request_fingerprint it, record& of);
+    void remove_trial(request_fingerprint it, record& of);
+    void on_trial_notice(time_point now, const trial_notice& it);
+    void mark_harmful(time_point now, request_fingerprint it, bool is_own);
+    void attribute_to_harmful(endpoint_life by_harmful);
     void clear(request_fingerprint it);
-    /// The ends under a request that this instance saw.
+    /// Reports of the ends under a request that this instance saw itself.
     static std::vector<crash_report> own_reports(request_fingerprint it, const record& of);
-    void tell(time_point now, const conduct_finding& it);
-    /// Tells again of ends that this instance saw under a harmful request: they speak against no other.
-    void tell_explained(time_point now, const std::vector<crash_report>& all);
-    void make_room();
+    void broadcast_finding(time_point now, const request_finding& it);
+    /// Schedules repeated reports of ends that this instance saw under a harmful request, so that other
+    /// instances do not count them against any other request.
+    void schedule_report_resends(time_point now, const std::vector<crash_report>& all);
+    void evict_record();
 
     attribution_options options_;
     std::uint64_t own_hash_;
     hooks hooks_;
     std::map<request_fingerprint, record> records_;
-    std::map<endpoint_life, unexplained_loss> unexplained_;
+    std::map<endpoint_life, unconfirmed_loss> unconfirmed_losses_;
     std::optional<time_point> flush_at_;
-    std::set<request_fingerprint> tried_; ///< records with a trial
-    std::map<request_fingerprint, time_point> answered_;
+    std::set<request_fingerprint> requests_on_trial_;    ///< requests whose record has an `active_trial`
+    std::map<request_fingerprint, time_point> answered_; ///< time of the latest complete answer
     std::deque<request_fingerprint> answered_order_;
     recent_set<endpoint_life> ended_;
     end_rate rate_;
-    recent_set<endpoint_life> explained_; ///< of these: by a harmful request
-    std::vector<repeated_news> repeats_;
+    recent_set<endpoint_life> ends_by_harmful_; ///< endpoints whose end is attributed to a harmful request
+    std::vector<scheduled_resend> scheduled_resends_;
 };
 
 } // namespace runlink::crashes
--- a/include/runlink/crashes/end_rate.hpp
+++ b/include/runlink/crashes/end_rate.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How often endpoints end, and how likely it is that they do so under one request by chance.
+/// Estimates how often endpoints end, and how likely it is that they end under one request by chance.
 #pragma once
 
 #include <cstddef>
@@ -14,32 +14,33 @@
 namespace runlink::crashes
 {
 
-/// Parameters of the rate.
+/// Parameters of the rate estimate.
 struct end_rate_options
 {
+    /// Time over which the rate is measured.
     core::seconds window{10};
-    /// Least rate that is believed: one end of each endpoint in this time.
-    core::seconds longest_life{600};
+    /// Lower bound of the rate: each endpoint ends at least once in this time on average.
+    core::seconds max_mean_lifetime{600};
 };
 
-/// Learns the rate at which endpoints end.
+/// Measures the rate at which endpoints end.
 class end_rate
 {
 public:
     explicit end_rate(end_rate_options options = {}) : options_{options} {}
 
-    /// There are so many endpoints. The rate counts from the first call on.
+    /// Sets the current number of endpoints. The measurement starts with the first call.
     void watch(core::time_point now, std::size_t endpoints);
     /// An endpoint has ended.
     void ended(core::time_point now, endpoint_life it);
-    /// That end has a cause and does not count as chance.
-    void explained(endpoint_life it);
-    /// The time that the rate was learned in.
-    core::duration watched(core::time_point now) const;
-    /// Probability that so many endpoints or more end by chance while one request is there for this long in
-    /// all. `under_it`: those that ended under it, and how long it had been there.
-    /// `by_others`: ends that another request has probably caused.
-    double chance_of(core::time_point now, const std::map<endpoint_life, core::duration>& under_it,
+    /// Excludes the end of an endpoint whose cause is known from the rate of chance ends.
+    void exclude(endpoint_life it);
+    /// Time over which the rate has been measured, from 1 s to `window`.
+    core::duration observation_time(core::time_point now) const;
+    /// Probability that at least as many endpoints end by chance as ended while they ran one request.
+    /// `ended_under_request`: these endpoints, and how long the request had run on each.
+    /// `by_others`: ends probably caused by another request, which do not count as chance.
+    double chance_of(core::time_point now, const std::map<endpoint_life, core::duration>& ended_under_request,
                      const std::set<endpoint_life>& by_others = {}) const;
 
 private:
--- a/include/runlink/crashes/recent_set.hpp
+++ b/include/runlink/crashes/recent_set.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The latest members of a set that would grow without end.
+/// A set of bounded size.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +9,20 @@
 namespace runlink::crashes
 {
 
-/// Forgets its oldest member when it is full.
+/// Removes the member that was inserted first when its size exceeds `capacity`.
 template <class T>
 class recent_set
 {
 public:
-    explicit recent_set(std::size_t most) : most_{most} {}
+    explicit recent_set(std::size_t capacity) : capacity_{capacity} {}
 
-    /// Returns whether it is new.
+    /// Returns whether the value was not yet a member.
     bool insert(const T& it)
     {
         if (!members_.insert(it).second)
             return false;
         order_.push_back(it);
-        if (order_.size() > most_)
+        if (order_.size() > capacity_)
         {
             members_.erase(order_.front());
             order_.pop_front();
@@ -32,7 +32,7 @@
     bool contains(const T& it) const { return members_.contains(it); }
 
 private:
-    std::size_t most_;
+    std::size_t capacity_;
     std::set<T> members_;
     std::deque<T> order_;
 };
--- a/include/runlink/crashes/request_fingerprint.hpp
+++ b/include/runlink/crashes/request_fingerprint.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What makes two requests the same to the endpoints that run them.
+/// Identifies requests whose content is the same for the endpoints that run them.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,26 @@
 namespace runlink::crashes
 {
 
-/// Hash of the method, host, target and body of a request, without what callers change when they repeat it.
+/// Hash of the method, host, target and body of a request. Leaves out what callers change when they repeat
+/// a request.
 using content_hash = core::strong_number<struct content_hash_tag>;
 
-/// Names the content of a request of one account, the same at every instance.
+/// Identifies the content of a request of one client account; equal at all instances.
 using request_fingerprint = core::strong_number<struct request_fingerprint_tag>;
 
 content_hash hash_of(std::string_view method, std::string_view host, std::string_view target,
                      std::string_view body);
 
-/// The upper 16 bits are the account's, so that a full memory can tell whose requests fill it.
+/// The upper 16 bits are derived from the client account, so that eviction can find the account with the most
+/// records.
 request_fingerprint fingerprint_of(content_hash content, const core::account_id& account);
 
-/// The account's bits of a fingerprint.
+/// The upper 16 bits of a fingerprint, which identify the client account.
 std::uint64_t account_part(request_fingerprint it);
 
-/// As 16 hexadecimal digits, for logs and keys.
+/// Formats a fingerprint as 16 hexadecimal digits, for logs and store keys.
 std::string to_hex(request_fingerprint it);
-/// The inverse; nothing for any other text.
+/// Parses the output of `to_hex`; returns nothing for any other text.
 std::optional<request_fingerprint> from_hex(std::string_view text);
 
 } // namespace runlink::crashes
--- a/include/runlink/places/advertised_limits.hpp
+++ b/include/runlink/places/advertised_limits.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many requests endpoints get that name a limit in their answers.
+/// Limits the request rate of endpoints that advertise a limit in their answers.
 #pragma once
 
 #include <cstdint>
@@ -22,42 +22,43 @@
 using core::time_point;
 
 /// Parameters of the limits.
-struct named_limit_options
+struct advertised_limit_options
 {
-    /// Part of a limit that is used: requests bunch on the way.
-    double rate_part = 0.9;
-    /// Requests a second that an endpoint gets with a lower limit, so that an answer can tell its end.
-    double trickle_per_s = 0.2;
-    /// Instances that send to one endpoint: with a limit of N requests a second at most this many and 2 N
-    /// more. Each may be one request ahead of the rate, and a low limit bears few of them.
-    std::size_t least_senders = 3;
-    /// Bound on the senders of one endpoint: they report to each other.
-    std::size_t most_senders = 32;
-    /// Between two reports of a sender to the others.
+    /// Fraction of a limit that is used, because requests may bunch up on their way.
+    double rate_fraction = 0.9;
+    /// Minimum rate of requests to an endpoint, even with a lower limit, so that some answer can announce the
+    /// end of the limit.
+    double min_requests_per_s = 0.2;
+    /// With a limit of N requests per second, at most this many plus 2 N instances send to the endpoint. Each
+    /// may be one request ahead of its rate, so a low limit permits only few senders.
+    std::size_t base_senders = 3;
+    /// Upper bound of the senders of one endpoint, because each reports to all others.
+    std::size_t max_senders = 32;
+    /// Interval of a sender's reports to the other senders.
     milliseconds report_interval{500};
-    /// A sender that has not reported for this long keeps its part of the rate, which nobody else uses.
-    milliseconds heard_for{1600};
-    /// Between two reports to all instances, of the first sender.
-    milliseconds spread_interval{2000};
-    /// Instances that may have missed the end of a limit are told again for this long.
-    milliseconds ended_kept{10'000};
-    /// Where no send has been heard of for this long, the senders may have nothing to send: other instances
-    /// may send as well, one after the other.
-    milliseconds silence{4000};
-    /// In this time of silence twice as many instances may send.
-    milliseconds widening_time{5000};
-    /// An instance that has heard no other for longer does not know whether there is silence. All such
-    /// instances together send at the trickle's rate.
-    milliseconds in_touch_for{5000};
-    /// Limits of lives that are not listed are kept for this long: their entries may be back.
-    milliseconds unlisted_kept{600'000};
+    /// After this long without a report of a sender, its equal part of the rate stays reserved for it.
+    milliseconds peer_timeout{1600};
+    /// Interval of the first sender's reports to all instances.
+    milliseconds broadcast_interval{2000};
+    /// How long the end of a limit is reported again, to instances that may have missed it.
+    milliseconds ended_limit_retention{10'000};
+    /// If no send has been reported for this long, the senders may have no requests. Other instances may then
+    /// send as well, one after the other.
+    milliseconds silence_threshold{4000};
+    /// Time in which the number of instances that may send doubles while no send is reported.
+    milliseconds sender_doubling_time{5000};
+    /// An instance that has received no report for longer cannot know whether others send. All such instances
+    /// together send at `min_requests_per_s`.
+    milliseconds contact_timeout{5000};
+    /// How long the limits of endpoints are kept that the store does not list; their entries may come back.
+    milliseconds unlisted_retention{600'000};
 };
 
-/// What became of the limit of an endpoint.
+/// How the limit of an endpoint changed.
 enum class limit_change
 {
     none,
-    named, ///< there was none
+    named, ///< the endpoint had no limit before
     lowered,
     raised,
     ended,
@@ -65,77 +66,81 @@
 
 std::string_view to_string(limit_change it);
 
-/// What one instance tells others of an endpoint that names a limit.
+/// One instance's report on an endpoint that advertises a limit.
 struct limit_report
 {
-    endpoint_id endpoint;                 ///< one life
-    std::optional<double> requests_per_s; ///< nothing: the endpoint names no limit any more
-    milliseconds age{};                   ///< since the answer that said so
-    std::uint64_t sends = 0;              ///< of the reporting instance, since it started
+    endpoint_id endpoint;
+    std::optional<double> requests_per_s; ///< nothing: the limit has ended
+    milliseconds age{};                   ///< time since the answer that said so
+    std::uint64_t sends = 0;              ///< sends of the reporting instance since it started
 };
 
-/// One datagram.
+/// The content of one datagram.
 struct limit_reports
 {
     core::instance_id sender;
     std::vector<limit_report> reports;
 };
 
-/// A change, for the log.
-struct limit_news
+/// A change of a limit, for the log.
+struct limit_update
 {
     limit_change change = limit_change::none;
-    milliseconds age{}; ///< of the statement
+    milliseconds age{}; ///< time since the endpoint's statement
 };
 
-/// Bounds the requests that an endpoint gets from all instances together while it names a limit.
+/// Bounds the requests that an endpoint gets from all instances together while it advertises a limit.
 ///
-/// A few instances are drawn as its senders, those of its failure domain first: they have the most requests
-/// for it. They share one rate by demand: each tells the others of its sends at once, which puts off the next
-/// send of all. A sender that is not heard keeps its equal part, so that senders that hear nobody stay within
-/// the limit together. To all other instances the endpoint is absent.
-class named_limits
+/// A few instances are selected as its senders. Those of its failure domain come first, because they have the
+/// most requests for it. The senders share one rate by demand: each reports its sends to the others at once,
+/// which delays the next send of all. A sender without recent reports keeps its equal part of the rate, so
+/// that senders that cannot reach each other together stay within the limit. All other instances treat the
+/// endpoint as absent.
+class advertised_limits
 {
 public:
     using domain_lookup = std::function<core::failure_domain_id(const endpoint_id&)>;
 
-    /// `instances`: outlives this object. `domain_of`: where an endpoint is, as far as is known.
-    named_limits(
-        named_limit_options options, core::instance_id self, const sender_set& instances,
+    /// `instances` has to outlive this object. `domain_of`: the failure domain of an endpoint, empty if
+    /// unknown.
+    advertised_limits(
+        advertised_limit_options options, core::instance_id self, const sender_set& instances,
         domain_lookup domain_of = [](const endpoint_id&) { return core::failure_domain_id{}; })
         : options_{options}, self_{std::move(self)}, instances_{instances}, domain_of_{std::move(domain_of)}
     {
     }
 
-    /// All instances are known.
+    /// Marks the list of instances as complete.
     void settle(time_point now);
-    /// An answer to a request that was sent at `asked_at` named this limit, or none.
+    /// An answer to a request that was sent at `asked_at` advertised this limit, or none.
     limit_change answered(time_point now, const endpoint_id& id, std::optional<double> requests_per_s,
                           time_point asked_at);
-    /// Another instance's report. The newest statement holds.
-    limit_news told(time_point now, const core::instance_id& by, const limit_report& it);
+    /// Handles another instance's report. The newest statement of the endpoint is valid.
+    limit_update told(time_point now, const core::instance_id& by, const limit_report& it);
     void sent(time_point now, const endpoint_id& id);
-    /// The instance stood still, or the others are not the same any more: nothing is made up for.
+    /// Restarts the spacing of sends after the process was suspended or the set of instances changed. Sends
+    /// that were missed are not made up for.
     void restart_pace(time_point now);
 
     std::optional<double> limit_of(const endpoint_id& id) const;
     bool may_send(time_point now, const endpoint_id& id) const;
-    /// Whether a request that was counted at that time, but not written, still has its place.
+    /// Whether a request that was counted at `counted_at` but not yet written still counts. It no longer does
+    /// if the endpoint has since advertised a limit or lowered it.
     bool is_counted(const endpoint_id& id, time_point counted_at) const;
-    /// When this instance may send to it next.
+    /// When this instance may next send to the endpoint.
     time_point next_send(time_point now, const endpoint_id& id) const;
-    /// When some instance may send to it next, as far as this one knows.
+    /// When any instance may next send to the endpoint, as far as this one knows.
     time_point next_send_of_any(time_point now, const endpoint_id& id) const;
-    /// Between two sends of this instance if it alone has requests.
+    /// Time between two sends of this instance while no other instance has requests for the endpoint.
     duration interval(time_point now, const endpoint_id& id) const;
     bool is_sender(const endpoint_id& id) const;
     std::size_t sender_count(const endpoint_id& id) const;
     std::size_t size() const { return records_.size(); }
 
-    /// What the other senders of the endpoint are to know.
+    /// The report on the endpoint for other instances.
     limit_report report(time_point now, const endpoint_id& id) const;
     const std::vector<core::instance_id>& other_senders(const endpoint_id& id) const;
-    /// Reports that are due.
+    /// Endpoints whose reports are due, by recipients.
     struct due_reports
     {
         std::vector<endpoint_id> to_senders;
@@ -143,9 +148,9 @@
     };
     due_reports take_due(time_point now);
     std::optional<time_point> next_due() const;
-    /// All that is known, for an instance that starts.
+    /// Reports on all endpoints, for an instance that starts.
     std::vector<limit_report> all(time_point now) const;
-    /// Forgets limits that ended, and lives for which `is_gone` holds.
+    /// Removes limits that have ended and endpoints for which `is_gone` holds, after their retention times.
     template <class Predicate>
     void forget_if(time_point now, const Predicate& is_gone)
     {
@@ -153,9 +158,9 @@
                       [&](const auto& it)
                       {
                           const auto& [id, e] = it;
-                          const auto age = now - e.said_at;
-                          return (!e.requests_per_s && age >= options_.ended_kept) ||
-                                 (is_gone(id) && age >= options_.unlisted_kept);
+                          const auto age = now - e.stated_at;
+                          return (!e.requests_per_s && age >= options_.ended_limit_retention) ||
+                                 (is_gone(id) && age >= options_.unlisted_retention);
                       });
     }
 
@@ -168,36 +173,36 @@
     struct record
     {
         std::optional<double> requests_per_s;
-        time_point said_at{};
-        time_point lowered_at{}; ///< or named
+        time_point stated_at{};
+        time_point lowered_at{}; ///< when the limit was first advertised or last lowered
         time_point next_send{};
-        time_point active_at{};                 ///< the last send that was heard of
-        time_point told_at = time_point::min(); ///< the last report of another instance
-        time_point report_at{};
-        time_point spread_at = time_point::min(); ///< the last report to all
-        bool has_news = false;                    ///< that all are to know
+        time_point last_send_at{};                     ///< the latest send known, of any instance
+        time_point last_report_at = time_point::min(); ///< the latest report of another instance
+        time_point next_report_at{};
+        time_point last_broadcast_at = time_point::min(); ///< the latest report to all instances
+        bool needs_broadcast = false;                     ///< whether the next report goes to all instances
         std::uint64_t sends = 0;
         std::map<core::instance_id, peer> peers;
     };
 
-    limit_change take(time_point now, const endpoint_id& id, record& to, std::optional<double> requests_per_s,
-                      time_point said_at);
+    limit_change apply(time_point now, const endpoint_id& id, record& to,
+                       std::optional<double> requests_per_s, time_point stated_at);
     const record* find(const endpoint_id& id) const;
-    /// The record of an endpoint that names a limit now, or null.
-    const record* bound(const endpoint_id& id) const;
+    /// The record of an endpoint that currently advertises a limit, or null.
+    const record* find_limited(const endpoint_id& id) const;
     std::size_t sender_count(const record& it) const;
     double rate(const record& it) const;
     duration interval(time_point now, const endpoint_id& id, const record& it) const;
-    /// Between two sends of a sender that hears nobody.
-    duration lone_interval(const record& it) const;
-    std::size_t count_heard(time_point now, const endpoint_id& id, const record& it) const;
-    /// When an instance that is no sender may send, since nobody else does.
+    /// Time between two sends of a sender that receives no reports.
+    duration isolated_interval(const record& it) const;
+    std::size_t count_live_peers(time_point now, const endpoint_id& id, const record& it) const;
+    /// When an instance that is no sender may send because no other instance seems to send.
     time_point next_send_in_silence(time_point now, const endpoint_id& id, const record& it) const;
-    /// A part of an interval that differs between instances, and from send to send.
+    /// A pseudo-random part of an interval that differs between instances and between sends.
     duration phase(const endpoint_id& id, std::uint64_t number, duration of) const;
-    void begin_pace(time_point now, const endpoint_id& id, record& it);
+    void delay_first_send(time_point now, const endpoint_id& id, record& it);
 
-    named_limit_options options_;
+    advertised_limit_options options_;
     core::instance_id self_;
     const sender_set& instances_;
     domain_lookup domain_of_;
--- a/include/runlink/places/endpoint_bounds.hpp
+++ b/include/runlink/places/endpoint_bounds.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What endpoints bear now, whatever the reason: one question before each send, and one count of it.
+/// Combines all bounds on the requests that this instance may send to an endpoint.
 #pragma once
 
 #include <utility>
@@ -15,17 +15,17 @@
 struct endpoint_bound_options
 {
     warm_up_options warm_up;
-    named_limit_options limits;
+    advertised_limit_options limits;
     endpoint_rest_options rests;
 };
 
-/// Cold endpoints, endpoints that name a limit, and endpoints that asked for rest. A send has to be within
-/// all of these, and counts for all of them.
+/// Bounds for cold endpoints, endpoints that advertise a limit, and endpoints that asked for rest. A send has
+/// to satisfy all of them and counts towards all of them.
 class endpoint_bounds
 {
 public:
     endpoint_bounds(endpoint_bound_options options, const core::instance_id& self,
-                    const core::failure_domain_id& own_domain, named_limits::domain_lookup domain_of)
+                    const core::failure_domain_id& own_domain, advertised_limits::domain_lookup domain_of)
         : warm_up_{options.warm_up, self},
           limits_{options.limits, self, warm_up_.instances(), std::move(domain_of)}, rests_{options.rests,
                                                                                             self}
@@ -37,33 +37,34 @@
 
     places::warm_up& warm_up() { return warm_up_; }
     const places::warm_up& warm_up() const { return warm_up_; }
-    named_limits& limits() { return limits_; }
-    const named_limits& limits() const { return limits_; }
+    advertised_limits& limits() { return limits_; }
+    const advertised_limits& limits() const { return limits_; }
     endpoint_rests& rests() { return rests_; }
     const endpoint_rests& rests() const { return rests_; }
 
-    /// Another instance is there, or is gone.
+    /// Adds another instance, or updates its failure domain.
     void put_instance(time_point now, const core::instance_id& id, const core::failure_domain_id& domain);
     void remove_instance(time_point now, const core::instance_id& id);
-    /// All instances are known.
+    /// Marks the list of instances as complete.
     void settle(time_point now);
-    /// The process stood still.
+    /// The process was suspended and runs again.
     void on_wake(time_point now) { limits_.restart_pace(now); }
 
     bool may_send(time_point now, const endpoint_id& id) const;
+    /// Counts a request that this instance sends to the endpoint.
     void sent(time_point now, const endpoint_id& id);
-    /// Whether a request that was counted at that time may still be written; counts it anew where the
-    /// endpoint has named a limit, or a lower one, since.
+    /// Whether a request that was counted at `counted_at` but not yet written may still be sent. Counts it
+    /// again if the endpoint has since advertised a limit or lowered it.
     bool try_keep(time_point now, const endpoint_id& id, time_point counted_at);
-    /// When this instance may send to it next.
+    /// When this instance may next send to the endpoint.
     time_point next_send(time_point now, const endpoint_id& id) const;
-    /// When some instance may, as far as this one knows.
+    /// When any instance may next send to the endpoint, as far as this one knows.
     time_point next_send_of_any(time_point now, const endpoint_id& id) const;
-    /// Between two sends of this instance if it alone has requests.
+    /// Time between two sends of this instance while no other instance has requests for the endpoint.
     duration interval(time_point now, const endpoint_id& id) const;
-    /// Whether the endpoint has said itself that it bears little.
+    /// Whether the endpoint advertises a limit, rests, or has not accepted a request since its rest.
     bool is_restricted(const endpoint_id& id) const;
-    /// Forgets what is over. `is_unlisted`: the store does not list that life.
+    /// Removes expired bounds. `is_unlisted`: whether the store does not list the endpoint.
     template <class Predicate>
     void expire(time_point now, const Predicate& is_unlisted)
     {
@@ -74,7 +75,7 @@
 
 private:
     places::warm_up warm_up_;
-    named_limits limits_;
+    advertised_limits limits_;
     endpoint_rests rests_;
 };
 
--- a/include/runlink/places/endpoint_rests.hpp
+++ b/include/runlink/places/endpoint_rests.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Endpoints that asked this instance for rest.
+/// Endpoints that asked this instance to send no requests for some time (a rest).
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,17 @@
 /// Parameters of the time after a rest.
 struct endpoint_rest_options
 {
-    /// Between two sends until the endpoint takes one, and at most before the first: what waited for the end
-    /// of a rest does not go at the same moment, from this instance or from all.
+    /// Time between two sends after a rest until the endpoint accepts a request, and upper bound of the delay
+    /// before the first. It spreads the requests that waited for the end of the rest, at this instance and
+    /// across all instances.
     milliseconds probe_interval{100};
-    /// An endpoint that nothing was sent to for this long after its rest counts as rested.
-    milliseconds probe_time{5000};
+    /// An endpoint counts as recovered if nothing was sent to it for this long after its rest.
+    milliseconds recovery_timeout{5000};
 };
 
-/// Keeps what an endpoint asked of this instance when it refused a request: nothing until its rest is over,
-/// the longest that it asked for, and little until it takes a request again.
+/// Tracks the rests that endpoints asked for when they refused requests of this instance. An endpoint gets no
+/// request until the longest of its rests is over. Until it accepts a request again, it then gets one request
+/// per `probe_interval`.
 class endpoint_rests
 {
 public:
@@ -36,26 +38,27 @@
     {
     }
 
-    /// Returns whether the endpoint was not at rest before.
+    /// The endpoint asked for a rest of this length. Returns whether a rest began, rather than one being in
+    /// effect already.
     bool asked(time_point now, const endpoint_id& id, duration rest);
     void sent(time_point now, const endpoint_id& id);
-    /// It has taken a request that was sent at this time.
+    /// The endpoint accepted a request that was sent at `sent_at`.
     void took(const endpoint_id& id, time_point sent_at);
 
     bool is_resting(time_point now, const endpoint_id& id) const;
-    /// Whether it rests, or has not taken a request since.
+    /// Whether the endpoint rests or has not accepted a request since its rest.
     bool is_recovering(const endpoint_id& id) const { return records_.contains(id); }
     bool may_send(time_point now, const endpoint_id& id) const { return next_send(now, id) <= now; }
     time_point next_send(time_point now, const endpoint_id& id) const;
     duration interval() const { return options_.probe_interval; }
     std::size_t count_resting(time_point now) const;
-    /// Forgets endpoints that count as rested.
+    /// Removes endpoints that count as recovered.
     void expire(time_point now);
 
 private:
     struct record
     {
-        time_point until{};
+        time_point rest_until{};
         time_point next_send{};
     };
 
--- a/include/runlink/places/evacuations.hpp
+++ b/include/runlink/places/evacuations.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Failure domains whose endpoints are to get nothing for now.
+/// Failure domains that get no new requests by order of an operator.
 #pragma once
 
 #include <set>
@@ -10,21 +10,21 @@
 namespace runlink::places
 {
 
-/// An operator's order to send nothing to a failure domain, for as long as it stands.
+/// An operator's order to send no new requests to a failure domain. It holds until it is withdrawn.
 struct evacuation
 {
     core::failure_domain_id domain;
 };
 
-/// The orders that stand. What endpoints were sent before an order goes on there.
+/// The evacuations in force. Requests that were sent before an evacuation continue at their endpoints.
 class evacuations
 {
 public:
-    /// Whether the order is new.
+    /// Returns whether the failure domain was not yet evacuated.
     bool begin(const core::failure_domain_id& domain) { return domains_.insert(domain).second; }
-    /// Whether there was one.
+    /// Returns whether the failure domain was evacuated.
     bool end(const core::failure_domain_id& domain) { return domains_.erase(domain) > 0; }
-    /// Takes the orders of a whole list; returns the failure domains whose orders have ended.
+    /// Replaces all evacuations; returns the failure domains that are no longer evacuated.
     std::vector<core::failure_domain_id> replace(const std::set<core::failure_domain_id>& all);
     bool contains(const core::failure_domain_id& domain) const { return domains_.contains(domain); }
     std::size_t size() const { return domains_.size(); }
--- a/include/runlink/places/region_map.hpp
+++ b/include/runlink/places/region_map.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// In which region a failure domain lies, and which ones the declarations allow.
+/// Maps failure domains to regions and checks them against the allowed regions.
 #pragma once
 
 #include <map>
@@ -10,11 +10,11 @@
 namespace runlink::places
 {
 
-/// The regions that a route or a client account allows; empty: all of them.
+/// The regions that a route or a client account allows; if empty, all regions are allowed.
 using allowed_regions = std::vector<core::region_id>;
 
-/// The regions of all failure domains. Requests may be bound to regions by law or by contract, so that a
-/// failure domain whose region is not known is allowed to no request that is bound.
+/// The regions of all failure domains. Requests may be restricted to regions by law or by contract, so a
+/// failure domain whose region is unknown is not allowed for any restricted request.
 class region_map
 {
 public:
--- a/include/runlink/places/warm_up.hpp
+++ b/include/runlink/places/warm_up.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many requests endpoints get that are cold: just started, or emptied and taken back.
+/// Limits the request rate of cold endpoints, which have just started or are back from an evacuation.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +19,11 @@
 using core::service_id;
 using core::time_point;
 
-/// What the endpoints of a service bear while they are cold.
+/// The limit of a service's endpoints while they are cold.
 struct cold_limit
 {
-    double requests_per_s = 0; ///< 0: as much as at other times
-    milliseconds cold_time{};  ///< after a start
+    double requests_per_s = 0; ///< 0: no limit
+    milliseconds cold_time{};  ///< how long an endpoint is cold after its start
 
     friend bool operator==(const cold_limit&, const cold_limit&) = default;
 };
@@ -31,35 +31,37 @@
 /// Parameters of the warm-up.
 struct warm_up_options
 {
-    /// Instances that send to one cold endpoint; 0: all of them, each a part of the rate. Four, two more
-    /// where views differ, each one request ahead of its rate: a second has less than twice the limit. If
-    /// all four are lost, the endpoint gets nothing for its cold time, which is a few seconds.
+    /// Number of instances that send to one cold endpoint, each with an equal part of the rate; 0: all of
+    /// them. Each sender may be one request ahead of its rate, and two more instances may send where the
+    /// instances' lists of each other differ. With four senders, an endpoint gets less than twice its limit
+    /// in any second. If all four are lost, it gets no requests during its cold time of a few seconds.
     std::size_t senders = 4;
-    /// Part of the limit that is used: requests bunch on the way.
-    double rate_part = 0.9;
-    /// An endpoint that could not be reached may be back as another process, cold, before its entry says so:
-    /// for this long after the last try, and its cold time.
+    /// Fraction of the limit that is used, because requests may bunch up on their way.
+    double rate_fraction = 0.9;
+    /// An endpoint that could not be reached may have restarted, and so be cold, before its store entry says
+    /// so. It counts as cold for this long after the last attempt, plus its cold time.
     milliseconds news_delay{2500};
 };
 
 /// Why an endpoint counts as cold.
 enum class cold_reason
 {
-    told,        ///< by its entry
+    told,        ///< its store entry says so
     readmitted,  ///< its failure domain was evacuated
-    unreachable, ///< it may have started again
+    unreachable, ///< it may have restarted
 };
 
 std::string_view to_string(cold_reason it);
 
 /// Bounds the requests that a cold endpoint gets from all instances together.
 ///
-/// Answers a failure domain that comes back at once: its endpoints are idle, which draws the requests of all
-/// instances, and cold ones fall over at a few times the load that they have in calm. No instance sees the
-/// sends of the others in time, so that a few instances are drawn for each cold endpoint, each with its part
-/// of the rate; all others take it for absent. An instance that does not yet know the others sends to none.
-/// Without it cold endpoints got up to 26 requests in a second where 24 were borne (arrivals at endpoints in
-/// 34 s, 65 instances); with it none got more than the bound in 14 such runs with other faults beside.
+/// When a whole failure domain comes back at once, its idle endpoints attract the requests of all instances,
+/// and cold endpoints fail at a few times their normal load. No instance sees the sends of the others in
+/// time. Therefore a few instances are selected as senders of each cold endpoint, each with its part of the
+/// rate, and all others treat the endpoint as absent. An instance that does not yet know the others sends to
+/// no cold endpoint. Without this bound, cold endpoints got up to 26 requests in a second and could handle 24
+/// (65 instances, arrivals at endpoints during 34 s); with it, none exceeded the bound in 14 such runs that
+/// included other faults.
 class warm_up
 {
 public:
@@ -69,31 +71,33 @@
     }
 
     sender_set& instances() { return senders_; }
-    /// All instances are known.
+    /// Marks the list of instances as complete.
     void settle() { settled_ = true; }
     void set_limit(const service_id& service, const cold_limit& it) { limits_[service] = it; }
 
-    /// The entry of an endpoint says how much longer it is cold. Returns whether it is cold now and was not.
+    /// The store entry of an endpoint says how much longer it is cold. Returns whether the endpoint turned
+    /// from warm to cold.
     bool told(time_point now, const endpoint_id& id, const service_id& service, milliseconds cold_for);
-    /// Whatever its entry says, it may be cold from now on for its cold time. Returns as `told`.
+    /// Treats the endpoint as cold for its cold time from now on, whatever its store entry says. Returns
+    /// whether the endpoint turned from warm to cold.
     bool suspect(time_point now, const endpoint_id& id, const service_id& service, cold_reason why);
     void sent(time_point now, const endpoint_id& id);
 
     bool is_cold(time_point now, const endpoint_id& id) const;
     bool may_send(time_point now, const endpoint_id& id) const;
-    /// When this instance may send to it next.
+    /// When this instance may next send to the endpoint.
     time_point next_send(time_point now, const endpoint_id& id) const;
     time_point cold_until(const endpoint_id& id) const;
     bool is_sender(const endpoint_id& id) const;
     std::size_t cold_count(time_point now) const;
-    /// Forgets endpoints that are warm again.
+    /// Removes endpoints that are warm again.
     void expire(time_point now);
 
 private:
     struct record
     {
-        time_point told_until = time_point::min();
-        time_point suspected_until = time_point::min();
+        time_point reported_cold_until = time_point::min();
+        time_point assumed_cold_until = time_point::min();
         time_point next_send{};
         double requests_per_s = 0; ///< from all instances together
     };
@@ -101,11 +105,11 @@
     const cold_limit* limit_of(const service_id& service) const;
     record& begin(time_point now, const endpoint_id& id, const cold_limit& limit);
     std::size_t sender_count() const;
-    /// Between two sends of this instance, for the instances that are known now.
+    /// Time between two sends of this instance, given the instances that are known now.
     duration interval(const record& it) const;
     static bool is_cold(time_point now, const record& it)
     {
-        return now < it.told_until || now < it.suspected_until;
+        return now < it.reported_cold_until || now < it.assumed_cold_until;
     }
 
     warm_up_options options_;
--- a/src/runlink/crashes/crash_attribution.cpp
+++ b/src/runlink/crashes/crash_attribution.cpp
@@ -15,12 +15,12 @@
 }
 
 crash_attribution::crash_attribution(attribution_options options, std::uint64_t own_hash, hooks to)
-    : options_{std::move(options)}, own_hash_{own_hash}, hooks_{std::move(to)}, ended_{options_.most_lives},
-      explained_{options_.most_lives}
+    : options_{std::move(options)}, own_hash_{own_hash}, hooks_{std::move(to)},
+      ended_{options_.max_tracked_endpoints}, ends_by_harmful_{options_.max_tracked_endpoints}
 {
 }
 
-// Beliefs
+// Records and permissions
 
 crash_attribution::record* crash_attribution::find(request_fingerprint it)
 {
@@ -38,25 +38,26 @@
 {
     auto [found, is_new] = records_.try_emplace(it);
     if (is_new)
-        found->second.latest = now;
+        found->second.latest_end_at = now;
     return found->second;
 }
 
 bool crash_attribution::is_suspect(const record& it) const
 {
-    return it.on_probation || it.ends.size() >= options_.ends_to_suspect;
+    return it.on_probation || it.ends.size() >= options_.suspect_threshold;
 }
 
-bool crash_attribution::is_tried(time_point now, const record& it) const
+bool crash_attribution::has_active_trial(time_point now, const record& it) const
 {
-    return it.now_tried && (it.now_tried->is_own || now - it.now_tried->heard < options_.trial_silence);
+    return it.active_trial &&
+           (it.active_trial->is_own || now - it.active_trial->last_notice_at < options_.trial_silence);
 }
 
-std::size_t crash_attribution::unexplained_ends(request_fingerprint it) const
+std::size_t crash_attribution::count_unconfirmed_losses(request_fingerprint it) const
 {
     std::size_t out = 0;
-    for (const auto& [endpoint, loss] : unexplained_)
-        for (const auto& e : loss.runs)
+    for (const auto& [endpoint, loss] : unconfirmed_losses_)
+        for (const auto& e : loss.attempts)
             out += e.request == it ? 1 : 0;
     return out;
 }
@@ -68,22 +69,22 @@
     const auto& record = found == nullptr ? unknown : *found;
     if (record.harmful_until && now < *record.harmful_until)
         return permission::refused;
-    if (is_tried(now, record))
+    if (has_active_trial(now, record))
         return permission::waits;
     if (is_suspect(record))
-        return record.turn_at && now >= *record.turn_at ? permission::alone : permission::waits;
-    // What a broken connection means is known within milliseconds; a copy that is sent meanwhile may cost
-    // another endpoint.
-    const auto possible = record.ends.size() + unexplained_ends(it);
-    return possible < options_.ends_to_suspect ? permission::free : permission::waits;
+        return record.next_trial_at && now >= *record.next_trial_at ? permission::alone : permission::waits;
+    // The cause of a broken connection is known within milliseconds. A copy that is sent before that may
+    // crash another endpoint.
+    const auto possible = record.ends.size() + count_unconfirmed_losses(it);
+    return possible < options_.suspect_threshold ? permission::free : permission::waits;
 }
 
-standing crash_attribution::standing_of(time_point now, request_fingerprint it) const
+suspicion crash_attribution::standing_of(time_point now, request_fingerprint it) const
 {
     const auto* record = find(it);
     if (record == nullptr)
         return {};
-    return {record->ends.size(), now - record->latest, record->trials};
+    return {record->ends.size(), now - record->latest_end_at, record->trials};
 }
 
 duration crash_attribution::refused_for(time_point now, request_fingerprint it) const
@@ -95,13 +96,13 @@
 std::set<endpoint_life> crash_attribution::on_trial(time_point now) const
 {
     std::set<endpoint_life> out;
-    for (const auto it : tried_)
-        if (const auto& record = records_.at(it); is_tried(now, record))
-            out.insert(record.now_tried->endpoint);
+    for (const auto it : requests_on_trial_)
+        if (const auto& record = records_.at(it); has_active_trial(now, record))
+            out.insert(record.active_trial->endpoint);
     return out;
 }
 
-duration crash_attribution::turn_delay(request_fingerprint it) const
+duration crash_attribution::trial_delay(request_fingerprint it) const
 {
     const auto spread = static_cast<std::uint64_t>(duration{options_.turn_spread}.count());
     const auto mixed = core::stable_hash(to_hex(it), own_hash_);
@@ -119,12 +120,12 @@
 bool crash_attribution::on_broken(time_point now, request_fingerprint it, endpoint_life where,
                                   time_point sent_at)
 {
-    if (explained_.contains(where))
+    if (ends_by_harmful_.contains(where))
         return false;
-    const auto [found, is_new] = unexplained_.try_emplace(where);
+    const auto [found, is_new] = unconfirmed_losses_.try_emplace(where);
     if (is_new)
         found->second.at = now;
-    found->second.runs.push_back({it, sent_at});
+    found->second.attempts.push_back({it, sent_at});
     if (!ended_.contains(where))
         return is_new;
     on_ended(now, where);
@@ -133,10 +134,11 @@
 
 void crash_attribution::on_not_ended(time_point now, endpoint_life where)
 {
-    if (const auto found = unexplained_.find(where); found != unexplained_.end() && !found->second.has_ended)
-        unexplained_.erase(found);
-    for (const auto it : tried_)
-        if (auto& trial = records_.at(it).now_tried;
+    if (const auto found = unconfirmed_losses_.find(where);
+        found != unconfirmed_losses_.end() && !found->second.has_ended)
+        unconfirmed_losses_.erase(found);
+    for (const auto it : requests_on_trial_)
+        if (auto& trial = records_.at(it).active_trial;
             trial->is_own && trial->endpoint == where && trial->verdict_at)
             trial->verdict_at = now;
 }
@@ -148,19 +150,19 @@
         rate_.ended(now, where);
         hooks_.ended(now, where);
     }
-    const auto found = unexplained_.find(where);
-    if (found == unexplained_.end())
+    const auto found = unconfirmed_losses_.find(where);
+    if (found == unconfirmed_losses_.end())
         return;
     found->second.has_ended = true;
-    flush_at_ = flush_at_.value_or(now + options_.gather);
+    flush_at_ = flush_at_.value_or(now + options_.report_batch_window);
 }
 
 crash_report crash_attribution::report_of(time_point now, endpoint_life ended,
-                                          const unexplained_loss& it) const
+                                          const unconfirmed_loss& it) const
 {
     crash_report out;
     out.endpoint = ended;
-    for (const auto& run : it.runs)
+    for (const auto& run : it.attempts)
         if (!answered_since(run.request, run.sent_at))
             out.running.push_back({run.request, std::chrono::ceil<milliseconds>(now - run.sent_at)});
     return out;
@@ -170,11 +172,11 @@
 {
     flush_at_.reset();
     crash_news news;
-    for (const auto& [endpoint, loss] : unexplained_)
+    for (const auto& [endpoint, loss] : unconfirmed_losses_)
         if (loss.has_ended)
             news.reports.push_back(report_of(now, endpoint, loss));
-    std::erase_if(unexplained_, [](const auto& it) { return it.second.has_ended; });
-    if (news.reports.size() > options_.most_ends_at_once)
+    std::erase_if(unconfirmed_losses_, [](const auto& it) { return it.second.has_ended; });
+    if (news.reports.size() > options_.max_simultaneous_ends)
         return;
     std::erase_if(news.reports, [](const auto& it) { return it.running.empty(); });
     if (news.empty())
@@ -184,7 +186,7 @@
     std::vector<crash_report> explained;
     for (const auto& it : news.reports)
     {
-        count(now, it.endpoint, it.running);
+        record_end(now, it.endpoint, it.running);
         crash_report suspects{it.endpoint, {}};
         crash_report harmful{it.endpoint, {}};
         for (const auto& run : it.running)
@@ -204,30 +206,30 @@
             explained.push_back(std::move(harmful));
     }
     if (!by_suspects.empty())
-        repeats_.push_back({now + options_.verdict_delay / 2, {by_suspects, {}, {}}});
-    tell_explained(now, explained);
+        scheduled_resends_.push_back({now + options_.verdict_delay / 2, {by_suspects, {}, {}}});
+    schedule_report_resends(now, explained);
 }
 
-void crash_attribution::count(time_point now, endpoint_life ended, const std::vector<cut_run>& running)
+void crash_attribution::record_end(time_point now, endpoint_life ended, const std::vector<cut_run>& running)
 {
-    if (explained_.contains(ended))
+    if (ends_by_harmful_.contains(ended))
         return;
-    // A harmful request that ran there is reason enough.
+    // A harmful request that ran on the endpoint explains its end.
     for (const auto& it : running)
         if (judge(now, it.request) == permission::refused)
-            return explain(ended);
+            return attribute_to_harmful(ended);
     for (const auto& it : running)
-        count_one(now, ended, it);
+        record_end_under(now, ended, it);
 }
 
-void crash_attribution::count_one(time_point now, endpoint_life ended, const cut_run& of)
+void crash_attribution::record_end_under(time_point now, endpoint_life ended, const cut_run& of)
 {
     const auto it = of.request;
     auto& record = at(now, it);
     const bool was_suspect = is_suspect(record);
     record.ends.emplace(ended, of.ran);
-    record.latest = now;
-    auto& tried = record.now_tried;
+    record.latest_end_at = now;
+    auto& tried = record.active_trial;
     if (tried && tried->endpoint == ended)
         record.trial_end = ended;
     if (tried && tried->is_own && tried->endpoint == ended)
@@ -237,50 +239,52 @@
     }
     if (!was_suspect && is_suspect(record) && answered_since(it, now - options_.answer_holds))
     {
-        tell(now, {it, conduct::harmless});
+        broadcast_finding(now, {it, conduct::harmless});
         return clear(it);
     }
     if (!was_suspect && is_suspect(record))
     {
-        begin_turn(now, it, record);
-        // Reports may be lost, and who tries it next has to know which ends are not by chance.
+        schedule_trial(now, it, record);
+        // Earlier reports may have been lost, and the instance that runs the next trial needs them to tell
+        // ends under this request from chance ends.
         if (auto own = own_reports(it, record); !own.empty())
             hooks_.tell({std::move(own), {}, {}});
         hooks_.suspected(now, it);
     }
-    make_room();
+    evict_record();
 }
 
-// Memory
+// Expiry and eviction
 
 void crash_attribution::expire(time_point now)
 {
-    std::erase_if(unexplained_, [&](const auto& it)
+    std::erase_if(unconfirmed_losses_, [&](const auto& it)
                   { return !it.second.has_ended && now - it.second.at >= options_.explanation_time; });
     for (auto& [request, it] : records_)
     {
         if (!it.harmful_until || now < *it.harmful_until || it.is_recorded)
             continue;
-        // One more trial shows whether it still does harm.
+        // One more trial shows whether the request is still harmful.
         it.harmful_until.reset();
         it.on_probation = true;
         it.trials = 0;
-        it.turn_at = now;
-        it.latest = now;
+        it.next_trial_at = now;
+        it.latest_end_at = now;
     }
     std::vector<request_fingerprint> old;
     for (const auto& [request, it] : records_)
-        if (!it.harmful_until && !is_tried(now, it) && now - it.latest >= options_.memory)
+        if (!it.harmful_until && !has_active_trial(now, it) &&
+            now - it.latest_end_at >= options_.record_retention)
             old.push_back(request);
     for (const auto it : old)
         clear(it);
 }
 
-void crash_attribution::make_room()
+void crash_attribution::evict_record()
 {
-    if (records_.size() <= options_.most_requests)
+    if (records_.size() <= options_.max_tracked_requests)
         return;
-    // Of the account that fills the memory, its oldest; what is harmful last.
+    // Evicts the oldest record of the account with the most records; harmful requests go last.
     std::map<std::uint64_t, std::size_t> by_account;
     for (const auto& [request, it] : records_)
         ++by_account[account_part(request)];
@@ -288,12 +292,14 @@
                                           [](const auto& a, const auto& b) { return a.second < b.second; })
                              ->first;
     auto oldest = records_.end();
-    const auto rank = [](const record& it) { return std::pair{it.harmful_until.has_value(), it.latest}; };
+    const auto rank = [](const record& it) {
+        return std::pair{it.harmful_until.has_value(), it.latest_end_at};
+    };
     for (auto it = records_.begin(); it != records_.end(); ++it)
         if (account_part(it->first) == largest &&
             (oldest == records_.end() || rank(it->second) < rank(oldest->second)))
             oldest = it;
-    tried_.erase(oldest->first);
+    requests_on_trial_.erase(oldest->first);
     records_.erase(oldest);
 }
 
--- a/src/runlink/crashes/crash_attribution_trials.cpp
+++ b/src/runlink/crashes/crash_attribution_trials.cpp
@@ -1,4 +1,4 @@
-// Trials of suspects, findings, and what is due as time passes.
+// Trials of suspected requests, findings, and timers.
 
 #include <algorithm>
 #include <chrono>
@@ -15,8 +15,8 @@
 {
     auto& record = at(now, it);
     ++record.trials;
-    record.now_tried = trial{where, true, now, false, std::nullopt};
-    tried_.insert(it);
+    record.active_trial = trial{where, true, now, false, std::nullopt};
+    requests_on_trial_.insert(it);
     hooks_.tell({{}, {{it, where}}, {}});
 }
 
@@ -24,38 +24,38 @@
                                   bool has_reached)
 {
     auto* record = find(it);
-    if (record == nullptr || !record->now_tried || !record->now_tried->is_own ||
-        record->now_tried->endpoint != where || record->now_tried->verdict_at)
+    if (record == nullptr || !record->active_trial || !record->active_trial->is_own ||
+        record->active_trial->endpoint != where || record->active_trial->verdict_at)
         return;
-    // A broken connection is no finding yet: the endpoint may have ended.
-    if (unexplained_.contains(where))
+    // The connection broke, and it is not yet known whether the endpoint has ended.
+    if (unconfirmed_losses_.contains(where))
     {
-        record->now_tried->verdict_at = now + options_.explanation_time + options_.verdict_delay;
+        record->active_trial->verdict_at = now + options_.explanation_time + options_.verdict_delay;
         return;
     }
     record->trials -= has_reached ? 0 : 1;
-    decide(now, it, has_reached);
+    conclude_trial(now, it, has_reached);
 }
 
 bool crash_attribution::may_hand_on(request_fingerprint it) const
 {
     const auto* record = find(it);
-    if (record == nullptr || !record->now_tried)
+    if (record == nullptr || !record->active_trial)
         return false;
-    const auto& tried = *record->now_tried;
-    return tried.is_own && !tried.verdict_at && !unexplained_.contains(tried.endpoint) &&
-           record->trials < options_.most_trials;
+    const auto& tried = *record->active_trial;
+    return tried.is_own && !tried.verdict_at && !unconfirmed_losses_.contains(tried.endpoint) &&
+           record->trials < options_.max_trials;
 }
 
-void crash_attribution::begin_turn(time_point now, request_fingerprint it, record& of)
+void crash_attribution::schedule_trial(time_point now, request_fingerprint it, record& of)
 {
-    of.turn_at = now + turn_delay(it);
+    of.next_trial_at = now + trial_delay(it);
 }
 
-void crash_attribution::drop_trial(request_fingerprint it, record& of)
+void crash_attribution::remove_trial(request_fingerprint it, record& of)
 {
-    of.now_tried.reset();
-    tried_.erase(it);
+    of.active_trial.reset();
+    requests_on_trial_.erase(it);
 }
 
 bool crash_attribution::other_suspect_was_at(request_fingerprint it, endpoint_life where) const
@@ -82,24 +82,25 @@
 bool crash_attribution::is_beyond_chance(time_point now, request_fingerprint it) const
 {
     const auto chance = rate_.chance_of(now, records_.at(it).ends, ends_by_others(it));
-    const auto watched = rate_.watched(now);
+    const auto observation_time = rate_.observation_time(now);
     const auto requests = std::count_if(answered_.begin(), answered_.end(),
-                                        [&](const auto& e) { return now - e.second <= watched; });
+                                        [&](const auto& e) { return now - e.second <= observation_time; });
     using seconds_or_part = std::chrono::duration<double>;
     const auto expected_wrong = chance * static_cast<double>(std::max<std::ptrdiff_t>(requests, 1));
-    return expected_wrong * seconds_or_part{options_.one_wrong_in} < seconds_or_part{watched};
+    return expected_wrong * seconds_or_part{options_.false_positive_interval} <
+           seconds_or_part{observation_time};
 }
 
-void crash_attribution::decide(time_point now, request_fingerprint it, bool has_reached)
+void crash_attribution::conclude_trial(time_point now, request_fingerprint it, bool has_reached)
 {
     auto& record = records_.at(it);
-    const auto where = record.now_tried->endpoint;
+    const auto where = record.active_trial->endpoint;
     const bool is_certain =
-        record.now_tried->has_ended && !other_suspect_was_at(it, where) && is_beyond_chance(now, it);
-    if (is_certain || record.trials >= options_.most_trials)
-        return condemn(now, it, true);
-    drop_trial(it, record);
-    begin_turn(now, it, record);
+        record.active_trial->has_ended && !other_suspect_was_at(it, where) && is_beyond_chance(now, it);
+    if (is_certain || record.trials >= options_.max_trials)
+        return mark_harmful(now, it, true);
+    remove_trial(it, record);
+    schedule_trial(now, it, record);
     hooks_.tell({{}, {{it, where, true, has_reached}}, {}});
 }
 
@@ -114,38 +115,38 @@
     return out;
 }
 
-void crash_attribution::condemn(time_point now, request_fingerprint it, bool is_own)
+void crash_attribution::mark_harmful(time_point now, request_fingerprint it, bool is_own)
 {
     auto& record = at(now, it);
     const bool is_known = record.harmful_until && now < *record.harmful_until;
-    drop_trial(it, record);
-    record.turn_at.reset();
+    remove_trial(it, record);
+    record.next_trial_at.reset();
     if (is_known)
         return;
     record.harmful_until = now + options_.harmful_for;
-    record.latest = now;
+    record.latest_end_at = now;
     const auto ends = record.ends;
     const auto explained = own_reports(it, record);
     if (is_own)
-        tell(now, {it, conduct::harmful});
+        broadcast_finding(now, {it, conduct::harmful});
     for (const auto& [where, ran] : ends)
-        explain(where);
+        attribute_to_harmful(where);
     if (!explained.empty())
     {
         hooks_.tell({explained, {}, {}});
-        tell_explained(now, explained);
+        schedule_report_resends(now, explained);
     }
     hooks_.condemned(now, it, is_own);
 }
 
-void crash_attribution::explain(endpoint_life by_harmful)
+void crash_attribution::attribute_to_harmful(endpoint_life by_harmful)
 {
-    if (!explained_.insert(by_harmful))
+    if (!ends_by_harmful_.insert(by_harmful))
         return;
-    rate_.explained(by_harmful);
+    rate_.exclude(by_harmful);
     for (auto& [request, it] : records_)
         if (!it.harmful_until && it.ends.erase(by_harmful) > 0 && !is_suspect(it))
-            it.turn_at.reset();
+            it.next_trial_at.reset();
 }
 
 void crash_attribution::on_answered(time_point now, request_fingerprint it)
@@ -153,7 +154,7 @@
     const auto [found, is_new] = answered_.insert_or_assign(it, now);
     if (is_new)
         answered_order_.push_back(it);
-    if (answered_order_.size() > options_.most_answered)
+    if (answered_order_.size() > options_.max_answered_requests)
     {
         answered_.erase(answered_order_.front());
         answered_order_.pop_front();
@@ -162,7 +163,7 @@
     if (record == nullptr || record->harmful_until)
         return;
     if (is_suspect(*record))
-        tell(now, {it, conduct::harmless});
+        broadcast_finding(now, {it, conduct::harmless});
     clear(it);
 }
 
@@ -171,25 +172,26 @@
     const auto* record = find(it);
     if (record == nullptr || record->harmful_until)
         return;
-    tried_.erase(it);
+    requests_on_trial_.erase(it);
     records_.erase(it);
 }
 
-void crash_attribution::tell(time_point now, const conduct_finding& it)
+void crash_attribution::broadcast_finding(time_point now, const request_finding& it)
 {
     hooks_.tell({{}, {}, {it}});
-    for (const auto after : options_.told_again)
-        repeats_.push_back({now + after, {{}, {}, {it}}});
+    for (const auto after : options_.resend_delays)
+        scheduled_resends_.push_back({now + after, {{}, {}, {it}}});
 }
 
-void crash_attribution::tell_explained(time_point now, const std::vector<crash_report>& all)
+void crash_attribution::schedule_report_resends(time_point now, const std::vector<crash_report>& all)
 {
     if (all.empty())
         return;
-    // Once while verdicts on the innocent that were there wait for it.
-    repeats_.push_back({now + options_.verdict_delay / 2, {all, {}, {}}});
-    for (const auto after : options_.told_again)
-        repeats_.push_back({now + after, {all, {}, {}}});
+    // The first repetition arrives before other instances decide on requests that ran on the same endpoints,
+    // because these decisions wait for `verdict_delay`.
+    scheduled_resends_.push_back({now + options_.verdict_delay / 2, {all, {}, {}}});
+    for (const auto after : options_.resend_delays)
+        scheduled_resends_.push_back({now + after, {all, {}, {}}});
 }
 
 void crash_attribution::on_news(time_point now, const crash_news& it)
@@ -197,38 +199,38 @@
     for (const auto& e : it.reports)
     {
         on_ended(now, e.endpoint);
-        count(now, e.endpoint, e.running);
+        record_end(now, e.endpoint, e.running);
     }
     for (const auto& e : it.trials)
-        hear_trial(now, e);
+        on_trial_notice(now, e);
     for (const auto& e : it.findings)
         if (e.what == conduct::harmful)
-            condemn(now, e.request, false);
+            mark_harmful(now, e.request, false);
         else
             clear(e.request);
 }
 
-void crash_attribution::hear_trial(time_point now, const trial_notice& it)
+void crash_attribution::on_trial_notice(time_point now, const trial_notice& it)
 {
     auto& record = at(now, it.request);
-    if (record.harmful_until || (record.now_tried && record.now_tried->is_own))
+    if (record.harmful_until || (record.active_trial && record.active_trial->is_own))
         return;
-    const bool is_new = !is_tried(now, record) || record.now_tried->endpoint != it.endpoint;
-    drop_trial(it.request, record);
-    begin_turn(now, it.request, record);
+    const bool is_new = !has_active_trial(now, record) || record.active_trial->endpoint != it.endpoint;
+    remove_trial(it.request, record);
+    schedule_trial(now, it.request, record);
     if (it.is_over)
     {
         record.trials -= !it.has_reached && record.trials > 0 ? 1 : 0;
         return;
     }
     record.trials += is_new ? 1 : 0;
-    record.now_tried = trial{it.endpoint, false, now, false, std::nullopt};
-    tried_.insert(it.request);
+    record.active_trial = trial{it.endpoint, false, now, false, std::nullopt};
+    requests_on_trial_.insert(it.request);
 }
 
 void crash_attribution::on_recorded(time_point now, request_fingerprint it)
 {
-    condemn(now, it, false);
+    mark_harmful(now, it, false);
     records_.at(it).is_recorded = true;
 }
 
@@ -250,37 +252,37 @@
     return out;
 }
 
-// Time
+// Timers
 
 void crash_attribution::tick(time_point now)
 {
     if (flush_at_ && now >= *flush_at_)
         flush_ends(now);
     std::vector<request_fingerprint> due;
-    for (const auto request : tried_)
+    for (const auto request : requests_on_trial_)
     {
         auto& it = records_.at(request);
-        if (!it.now_tried->is_own)
+        if (!it.active_trial->is_own)
             continue;
-        if (it.now_tried->verdict_at && now >= *it.now_tried->verdict_at)
+        if (it.active_trial->verdict_at && now >= *it.active_trial->verdict_at)
             due.push_back(request);
-        else if (now - it.now_tried->heard >= options_.trial_interval)
+        else if (now - it.active_trial->last_notice_at >= options_.trial_interval)
         {
-            it.now_tried->heard = now;
-            hooks_.tell({{}, {{request, it.now_tried->endpoint}}, {}});
+            it.active_trial->last_notice_at = now;
+            hooks_.tell({{}, {{request, it.active_trial->endpoint}}, {}});
         }
     }
     for (const auto it : due)
-        decide(now, it, true);
+        conclude_trial(now, it, true);
     crash_news again;
-    for (const auto& it : repeats_)
+    for (const auto& it : scheduled_resends_)
     {
         if (now < it.at)
             continue;
         again.reports.insert(again.reports.end(), it.what.reports.begin(), it.what.reports.end());
         again.findings.insert(again.findings.end(), it.what.findings.begin(), it.what.findings.end());
     }
-    std::erase_if(repeats_, [&](const auto& it) { return now >= it.at; });
+    std::erase_if(scheduled_resends_, [&](const auto& it) { return now >= it.at; });
     if (!again.empty())
         hooks_.tell(again);
 }
@@ -291,11 +293,11 @@
     const auto add = [&](time_point it) { out = std::min(out.value_or(it), it); };
     if (flush_at_)
         add(*flush_at_);
-    for (const auto request : tried_)
-        if (const auto& it = records_.at(request); it.now_tried->is_own)
-            add(std::min(it.now_tried->verdict_at.value_or(time_point::max()),
-                         it.now_tried->heard + options_.trial_interval));
-    for (const auto& it : repeats_)
+    for (const auto request : requests_on_trial_)
+        if (const auto& it = records_.at(request); it.active_trial->is_own)
+            add(std::min(it.active_trial->verdict_at.value_or(time_point::max()),
+                         it.active_trial->last_notice_at + options_.trial_interval));
+    for (const auto& it : scheduled_resends_)
         add(it.at);
     return out;
 }
--- a/src/runlink/crashes/crashes_test.cpp
+++ b/src/runlink/crashes/crashes_test.cpp
@@ -11,31 +11,31 @@
 namespace
 {
 
-constexpr request_fingerprint guilty{1};
-constexpr request_fingerprint innocent{2};
+constexpr request_fingerprint harmful_request{1};
+constexpr request_fingerprint harmless_request{2};
 constexpr milliseconds run_time{400};
 constexpr std::size_t endpoint_count = 18;
 
-/// An instance, its clock, and what it said.
+/// The attribution of one instance with its clock and the messages and events that it emits.
 struct observer
 {
     time_point now{core::seconds{1000}};
-    std::vector<crash_news> told;
+    std::vector<crash_news> sent_messages;
     std::vector<request_fingerprint> suspected;
     std::vector<request_fingerprint> condemned;
-    crash_attribution it;
+    crash_attribution attribution;
 
     explicit observer(attribution_options options = {}, std::uint64_t self = 1)
-        : it{std::move(options), self, make_hooks()}
+        : attribution{std::move(options), self, make_hooks()}
     {
-        it.watch(now, endpoint_count);
+        attribution.watch(now, endpoint_count);
         pass(milliseconds{2000});
     }
 
     crash_attribution::hooks make_hooks()
     {
         crash_attribution::hooks out;
-        out.tell = [this](const crash_news& e) { told.push_back(e); };
+        out.tell = [this](const crash_news& e) { sent_messages.push_back(e); };
         out.suspected = [this](time_point, request_fingerprint e) { suspected.push_back(e); };
         out.condemned = [this](time_point, request_fingerprint e, bool) { condemned.push_back(e); };
         return out;
@@ -45,28 +45,28 @@
     {
         const auto end = now + time;
         for (; now < end; now += milliseconds{10})
-            it.tick(now);
+            attribution.tick(now);
     }
 
-    /// These requests run at an endpoint when it ends.
+    /// Ends an endpoint that runs these requests.
     void end(std::uint64_t endpoint, const std::vector<request_fingerprint>& running)
     {
         const auto sent_at = now;
         pass(run_time);
         for (const auto e : running)
-            it.on_broken(now, e, endpoint_life{endpoint}, sent_at);
-        it.on_ended(now, endpoint_life{endpoint});
-        pass(it.options().gather + milliseconds{10});
+            attribution.on_broken(now, e, endpoint_life{endpoint}, sent_at);
+        attribution.on_ended(now, endpoint_life{endpoint});
+        pass(attribution.options().report_batch_window + milliseconds{10});
     }
 
-    /// The request is tried at an endpoint, which ends.
+    /// Runs the request as a trial on an endpoint, which then ends.
     void try_and_end(request_fingerprint e, std::uint64_t endpoint)
     {
-        pass(it.options().turn_spread);
-        REQUIRE(it.judge(now, e) == permission::alone);
-        it.begin_trial(now, e, endpoint_life{endpoint});
+        pass(attribution.options().turn_spread);
+        REQUIRE(attribution.judge(now, e) == permission::alone);
+        attribution.begin_trial(now, e, endpoint_life{endpoint});
         end(endpoint, {e});
-        pass(it.options().verdict_delay + milliseconds{10});
+        pass(attribution.options().verdict_delay + milliseconds{10});
     }
 };
 
@@ -74,305 +74,314 @@
 
 TEST_CASE("a request under which two endpoints ended runs alone, and a third end convicts it")
 {
-    observer by;
-    by.end(1, {guilty, innocent});
-    CHECK(by.it.judge(by.now, guilty) == permission::free);
-    by.end(2, {guilty});
-    CHECK(by.suspected == std::vector{guilty});
-    by.try_and_end(guilty, 3);
-    CHECK(by.condemned == std::vector{guilty});
-    CHECK(by.it.judge(by.now, guilty) == permission::refused);
-    CHECK(by.it.judge(by.now, innocent) == permission::free);
-    CHECK(by.it.standing_of(by.now, innocent).ends == 0); // the harmful one explains it
+    observer instance;
+    instance.end(1, {harmful_request, harmless_request});
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::free);
+    instance.end(2, {harmful_request});
+    CHECK(instance.suspected == std::vector{harmful_request});
+    instance.try_and_end(harmful_request, 3);
+    CHECK(instance.condemned == std::vector{harmful_request});
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::refused);
+    CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
+    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends ==
+          0); // the end is attributed to the harmful request
 }
 
 TEST_CASE("while a suspect is tried no other copy runs, and nothing else goes there")
 {
-    observer by;
-    by.end(1, {guilty});
-    by.end(2, {guilty});
-    by.pass(by.it.options().turn_spread);
-    by.it.begin_trial(by.now, guilty, endpoint_life{3});
-    CHECK(by.it.judge(by.now, guilty) == permission::waits);
-    CHECK(by.it.on_trial(by.now) == std::set{endpoint_life{3}});
+    observer instance;
+    instance.end(1, {harmful_request});
+    instance.end(2, {harmful_request});
+    instance.pass(instance.attribution.options().turn_spread);
+    instance.attribution.begin_trial(instance.now, harmful_request, endpoint_life{3});
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::waits);
+    CHECK(instance.attribution.on_trial(instance.now) == std::set{endpoint_life{3}});
 
     observer other{{}, 2};
-    for (const auto& e : by.told)
-        other.it.on_news(other.now, e);
-    CHECK(other.it.judge(other.now, guilty) == permission::waits);
-    CHECK(other.it.on_trial(other.now) == std::set{endpoint_life{3}});
-    other.pass(other.it.options().trial_silence + milliseconds{500});
-    CHECK(other.it.judge(other.now, guilty) == permission::alone); // its owner is gone
+    for (const auto& e : instance.sent_messages)
+        other.attribution.on_news(other.now, e);
+    CHECK(other.attribution.judge(other.now, harmful_request) == permission::waits);
+    CHECK(other.attribution.on_trial(other.now) == std::set{endpoint_life{3}});
+    other.pass(other.attribution.options().trial_silence + milliseconds{500});
+    CHECK(other.attribution.judge(other.now, harmful_request) ==
+          permission::alone); // the instance that ran the trial is lost
 }
 
 TEST_CASE("a whole answer clears a suspect at every instance")
 {
-    observer by;
+    observer instance;
     observer other{{}, 2};
-    by.end(1, {innocent});
-    by.end(2, {innocent});
-    by.it.on_answered(by.now, innocent);
-    CHECK(by.it.judge(by.now, innocent) == permission::free);
-    for (const auto& e : by.told)
-        other.it.on_news(other.now, e);
-    CHECK(other.it.judge(other.now, innocent) == permission::free);
+    instance.end(1, {harmless_request});
+    instance.end(2, {harmless_request});
+    instance.attribution.on_answered(instance.now, harmless_request);
+    CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
+    for (const auto& e : instance.sent_messages)
+        other.attribution.on_news(other.now, e);
+    CHECK(other.attribution.judge(other.now, harmless_request) == permission::free);
 }
 
 TEST_CASE("a request that was answered after an attempt began did not end that attempt's endpoint")
 {
-    observer by;
-    const auto sent_at = by.now;
-    by.it.on_answered(by.now + milliseconds{5}, innocent);
-    by.pass(run_time);
-    by.it.on_broken(by.now, innocent, endpoint_life{1}, sent_at);
-    by.it.on_ended(by.now, endpoint_life{1});
-    by.pass(milliseconds{50});
-    CHECK(by.it.standing_of(by.now, innocent).ends == 0);
-    CHECK(by.told.empty());
+    observer instance;
+    const auto sent_at = instance.now;
+    instance.attribution.on_answered(instance.now + milliseconds{5}, harmless_request);
+    instance.pass(run_time);
+    instance.attribution.on_broken(instance.now, harmless_request, endpoint_life{1}, sent_at);
+    instance.attribution.on_ended(instance.now, endpoint_life{1});
+    instance.pass(milliseconds{50});
+    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 0);
+    CHECK(instance.sent_messages.empty());
 }
 
 TEST_CASE("connections that break while their endpoint lives count for nothing")
 {
-    observer by;
+    observer instance;
     for (std::uint64_t n = 1; n <= 4; ++n)
     {
-        by.it.on_broken(by.now, innocent, endpoint_life{n}, by.now);
-        by.it.on_not_ended(by.now, endpoint_life{n});
+        instance.attribution.on_broken(instance.now, harmless_request, endpoint_life{n}, instance.now);
+        instance.attribution.on_not_ended(instance.now, endpoint_life{n});
     }
-    CHECK(by.it.judge(by.now, innocent) == permission::free);
+    CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
 
 TEST_CASE("a copy waits while it is not known why the connection of another one broke")
 {
-    observer by;
-    by.end(1, {guilty});
-    by.it.on_broken(by.now, guilty, endpoint_life{2}, by.now);
-    CHECK(by.it.judge(by.now, guilty) == permission::waits);
-    by.it.on_not_ended(by.now, endpoint_life{2});
-    CHECK(by.it.judge(by.now, guilty) == permission::free);
+    observer instance;
+    instance.end(1, {harmful_request});
+    instance.attribution.on_broken(instance.now, harmful_request, endpoint_life{2}, instance.now);
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::waits);
+    instance.attribution.on_not_ended(instance.now, endpoint_life{2});
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::free);
 }
 
 TEST_CASE("where many endpoints end at one moment, no request is counted or told")
 {
-    observer by;
-    const auto sent_at = by.now;
-    by.pass(run_time);
-    for (std::uint64_t n = 0; n <= by.it.options().most_ends_at_once; ++n)
+    observer instance;
+    const auto sent_at = instance.now;
+    instance.pass(run_time);
+    for (std::uint64_t n = 0; n <= instance.attribution.options().max_simultaneous_ends; ++n)
     {
-        by.it.on_broken(by.now, innocent, endpoint_life{n}, sent_at);
-        by.it.on_ended(by.now, endpoint_life{n});
+        instance.attribution.on_broken(instance.now, harmless_request, endpoint_life{n}, sent_at);
+        instance.attribution.on_ended(instance.now, endpoint_life{n});
     }
-    by.pass(milliseconds{50});
-    CHECK(by.told.empty());
-    CHECK(by.it.judge(by.now, innocent) == permission::free);
+    instance.pass(milliseconds{50});
+    CHECK(instance.sent_messages.empty());
+    CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
 
 TEST_CASE("an end that instances report one by one counts once")
 {
-    observer by;
+    observer instance;
     for (int n = 0; n < 3; ++n)
-        by.it.on_news(by.now, {{{endpoint_life{1}, {{guilty, run_time}}}}, {}, {}});
-    CHECK(by.it.standing_of(by.now, guilty).ends == 1);
+        instance.attribution.on_news(instance.now,
+                                     {{{endpoint_life{1}, {{harmful_request, run_time}}}}, {}, {}});
+    CHECK(instance.attribution.standing_of(instance.now, harmful_request).ends == 1);
 }
 
 TEST_CASE("two suspects at one endpoint are not told apart there")
 {
-    observer by;
+    observer instance;
     for (std::uint64_t n = 1; n <= 2; ++n)
-        by.end(n, {guilty, innocent});
-    by.pass(by.it.options().turn_spread);
-    by.it.begin_trial(by.now, innocent, endpoint_life{3});
-    by.end(3, {guilty, innocent}); // a copy of the guilty one was on its way there
-    by.pass(by.it.options().verdict_delay + milliseconds{10});
-    CHECK(by.condemned.empty());
-    by.try_and_end(guilty, 4);
-    CHECK(by.condemned == std::vector{guilty});
-    by.it.on_answered(by.now, innocent);
-    CHECK(by.it.judge(by.now, innocent) == permission::free);
+        instance.end(n, {harmful_request, harmless_request});
+    instance.pass(instance.attribution.options().turn_spread);
+    instance.attribution.begin_trial(instance.now, harmless_request, endpoint_life{3});
+    instance.end(3,
+                 {harmful_request, harmless_request}); // a copy of the harmful request was already sent there
+    instance.pass(instance.attribution.options().verdict_delay + milliseconds{10});
+    CHECK(instance.condemned.empty());
+    instance.try_and_end(harmful_request, 4);
+    CHECK(instance.condemned == std::vector{harmful_request});
+    instance.attribution.on_answered(instance.now, harmless_request);
+    CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
 
 TEST_CASE("where endpoints end all the time, three ends convict no long stream")
 {
-    observer by;
+    observer instance;
     for (std::uint64_t n = 100; n < 120; ++n)
     {
-        by.it.on_news(by.now, {{{endpoint_life{n}, {}}}, {}, {}});
-        by.pass(milliseconds{100});
+        instance.attribution.on_news(instance.now, {{{endpoint_life{n}, {}}}, {}, {}});
+        instance.pass(milliseconds{100});
     }
     for (std::uint64_t n = 1; n <= 2; ++n)
-        by.it.on_news(by.now, {{{endpoint_life{n}, {{innocent, milliseconds{3000}}}}}, {}, {}});
-    by.try_and_end(innocent, 3);
-    CHECK(by.condemned.empty());
+        instance.attribution.on_news(
+            instance.now, {{{endpoint_life{n}, {{harmless_request, milliseconds{3000}}}}}, {}, {}});
+    instance.try_and_end(harmless_request, 3);
+    CHECK(instance.condemned.empty());
 }
 
 TEST_CASE("among many requests, one that is cut three times where endpoints end now and then is no culprit")
 {
-    // One endpoint of eighteen ended every two seconds. A long stream was cut by three of them, its trial by
-    // the last, and refused: that is as unlikely as one in a hundred thousand for each request, and many
-    // came.
+    // One of 18 endpoints ends every two seconds. Guards against refusing a long stream that runs on three of
+    // them when they end, the last time as a trial. The probability of this is 1 in 100'000 for each request,
+    // but there are many requests.
     constexpr std::uint64_t requests = 160;
-    observer by;
+    observer instance;
     for (std::uint64_t n = 0; n < requests; ++n)
     {
         if (n % 80 == 0)
-            by.it.on_news(by.now, {{{endpoint_life{100 + n}, {}}}, {}, {}});
-        by.it.on_answered(by.now, request_fingerprint{1000 + n});
-        by.pass(milliseconds{50});
+            instance.attribution.on_news(instance.now, {{{endpoint_life{100 + n}, {}}}, {}, {}});
+        instance.attribution.on_answered(instance.now, request_fingerprint{1000 + n});
+        instance.pass(milliseconds{50});
     }
     for (std::uint64_t n = 1; n <= 2; ++n)
-        by.end(n, {innocent});
-    by.try_and_end(innocent, 3);
-    CHECK(by.condemned.empty());
+        instance.end(n, {harmless_request});
+    instance.try_and_end(harmless_request, 3);
+    CHECK(instance.condemned.empty());
 }
 
 TEST_CASE("where no other endpoint ends, three ends convict among many requests")
 {
     constexpr std::uint64_t requests = 160;
-    observer by;
+    observer instance;
     for (std::uint64_t n = 0; n < requests; ++n)
     {
-        by.it.on_answered(by.now, request_fingerprint{1000 + n});
-        by.pass(milliseconds{50});
+        instance.attribution.on_answered(instance.now, request_fingerprint{1000 + n});
+        instance.pass(milliseconds{50});
     }
     for (std::uint64_t n = 1; n <= 2; ++n)
-        by.end(n, {guilty});
-    by.try_and_end(guilty, 3);
-    CHECK(by.condemned == std::vector{guilty});
+        instance.end(n, {harmful_request});
+    instance.try_and_end(harmful_request, 3);
+    CHECK(instance.condemned == std::vector{harmful_request});
 }
 
 TEST_CASE("ends that another suspect has probably caused hide no harmful request")
 {
     constexpr request_fingerprint other{3};
-    observer by;
+    observer instance;
     for (std::uint64_t n = 1; n <= 2; ++n)
-        by.end(n, {guilty});
+        instance.end(n, {harmful_request});
     for (std::uint64_t n = 11; n <= 14; ++n)
-        by.it.on_news(by.now, {{{endpoint_life{n}, {{other, run_time}}}}, {}, {}});
-    by.it.on_news(by.now, {{}, {{other, endpoint_life{15}}}, {}}); // an instance tries it
-    by.it.on_news(by.now, {{{endpoint_life{15}, {{other, run_time}}}}, {}, {}});
-    by.try_and_end(guilty, 3);
-    CHECK(by.condemned == std::vector{guilty});
+        instance.attribution.on_news(instance.now, {{{endpoint_life{n}, {{other, run_time}}}}, {}, {}});
+    instance.attribution.on_news(
+        instance.now, {{}, {{other, endpoint_life{15}}}, {}}); // another instance runs a trial of it
+    instance.attribution.on_news(instance.now, {{{endpoint_life{15}, {{other, run_time}}}}, {}, {}});
+    instance.try_and_end(harmful_request, 3);
+    CHECK(instance.condemned == std::vector{harmful_request});
 }
 
 TEST_CASE("trials without a finding come to an end")
 {
-    observer by;
-    by.end(1, {guilty});
-    by.end(2, {guilty});
-    for (std::uint32_t n = 0; n < by.it.options().most_trials; ++n)
+    observer instance;
+    instance.end(1, {harmful_request});
+    instance.end(2, {harmful_request});
+    for (std::uint32_t n = 0; n < instance.attribution.options().max_trials; ++n)
     {
-        by.pass(by.it.options().turn_spread);
-        REQUIRE(by.it.judge(by.now, guilty) == permission::alone);
-        by.it.begin_trial(by.now, guilty, endpoint_life{10 + n});
-        by.it.end_trial(by.now, guilty, endpoint_life{10 + n}, true);
+        instance.pass(instance.attribution.options().turn_spread);
+        REQUIRE(instance.attribution.judge(instance.now, harmful_request) == permission::alone);
+        instance.attribution.begin_trial(instance.now, harmful_request, endpoint_life{10 + n});
+        instance.attribution.end_trial(instance.now, harmful_request, endpoint_life{10 + n}, true);
     }
-    CHECK(by.it.judge(by.now, guilty) == permission::refused);
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::refused);
 }
 
 TEST_CASE("a finding holds for its time, and one trial follows")
 {
-    observer by;
-    by.it.on_recorded(by.now, guilty);
-    CHECK(by.it.judge(by.now, guilty) == permission::refused);
-    by.now += by.it.options().harmful_for;
-    CHECK(by.it.take_expired(by.now) == std::vector{guilty});
-    by.it.expire(by.now);
-    CHECK(by.it.judge(by.now, guilty) == permission::alone);
-    by.it.on_answered(by.now, guilty); // a later version bears it
-    CHECK(by.it.judge(by.now, guilty) == permission::free);
+    observer instance;
+    instance.attribution.on_recorded(instance.now, harmful_request);
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::refused);
+    instance.now += instance.attribution.options().harmful_for;
+    CHECK(instance.attribution.take_expired(instance.now) == std::vector{harmful_request});
+    instance.attribution.expire(instance.now);
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::alone);
+    instance.attribution.on_answered(instance.now, harmful_request); // a later version handles it
+    CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::free);
 }
 
 TEST_CASE("a finding is told again, since datagrams may be lost")
 {
-    observer by;
-    by.end(1, {guilty});
-    by.end(2, {guilty});
-    by.try_and_end(guilty, 3);
-    by.pass(milliseconds{1500});
-    const auto findings =
-        std::count_if(by.told.begin(), by.told.end(), [](const auto& e) { return !e.findings.empty(); });
+    observer instance;
+    instance.end(1, {harmful_request});
+    instance.end(2, {harmful_request});
+    instance.try_and_end(harmful_request, 3);
+    instance.pass(milliseconds{1500});
+    const auto findings = std::count_if(instance.sent_messages.begin(), instance.sent_messages.end(),
+                                        [](const auto& e) { return !e.findings.empty(); });
     CHECK(findings == 3);
 }
 
 TEST_CASE("what a harmful request explains is told again to those who missed it")
 {
-    // An instance had not heard that a suspect was at an endpoint that ended, since a datagram was lost, and
-    // counted that end against a long stream of its own. The suspect was condemned; nobody told of it again.
+    // After the loss of a datagram, an instance does not know that a suspect ran on an ended endpoint and
+    // counts that end against a long stream of its own. Guards against that count staying after the suspect
+    // is found harmful, which happens if the report is not sent again.
     observer witness;
-    observer by{{}, 2};
-    witness.end(1, {guilty});
-    witness.told.clear(); // lost
-    by.end(1, {innocent});
-    by.end(2, {innocent});
-    by.it.on_recorded(by.now, guilty);
-    CHECK(by.it.standing_of(by.now, innocent).ends == 2);
-
-    witness.it.on_recorded(witness.now, guilty);
+    observer instance{{}, 2};
+    witness.end(1, {harmful_request});
+    witness.sent_messages.clear(); // lost
+    instance.end(1, {harmless_request});
+    instance.end(2, {harmless_request});
+    instance.attribution.on_recorded(instance.now, harmful_request);
+    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 2);
+
+    witness.attribution.on_recorded(witness.now, harmful_request);
     SECTION("at once") {}
     SECTION("before a verdict that waits for it")
     {
-        witness.told.clear(); // lost as well
-        witness.pass(witness.it.options().verdict_delay);
+        witness.sent_messages.clear(); // lost as well
+        witness.pass(witness.attribution.options().verdict_delay);
     }
-    for (const auto& e : witness.told)
-        by.it.on_news(by.now, e);
-    CHECK(by.it.standing_of(by.now, innocent).ends == 1);
-    CHECK(by.it.judge(by.now, innocent) == permission::free);
+    for (const auto& e : witness.sent_messages)
+        instance.attribution.on_news(instance.now, e);
+    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 1);
+    CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
 
 TEST_CASE("an end under a request that is known to be harmful is told again")
 {
     observer witness;
-    witness.it.on_recorded(witness.now, guilty);
-    witness.end(1, {guilty, innocent}); // a copy that was under way
-    witness.told.clear();               // lost
-    witness.pass(witness.it.options().verdict_delay);
-
-    observer by{{}, 2};
-    by.it.on_recorded(by.now, guilty);
-    by.end(1, {innocent});
-    CHECK(by.it.standing_of(by.now, innocent).ends == 1);
-    for (const auto& e : witness.told)
-        by.it.on_news(by.now, e);
-    CHECK(by.it.standing_of(by.now, innocent).ends == 0);
+    witness.attribution.on_recorded(witness.now, harmful_request);
+    witness.end(1, {harmful_request, harmless_request}); // a copy that was already sent
+    witness.sent_messages.clear();                       // lost
+    witness.pass(witness.attribution.options().verdict_delay);
+
+    observer instance{{}, 2};
+    instance.attribution.on_recorded(instance.now, harmful_request);
+    instance.end(1, {harmless_request});
+    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 1);
+    for (const auto& e : witness.sent_messages)
+        instance.attribution.on_news(instance.now, e);
+    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 0);
 }
 
 TEST_CASE("ends under a suspect are told again, since who tries it judges by them")
 {
     observer witness;
-    observer by{{}, 2};
+    observer instance{{}, 2};
     SECTION("those of before, when it becomes a suspect")
     {
-        witness.end(1, {guilty});
-        witness.told.clear(); // lost
-        witness.it.on_news(witness.now, {{{endpoint_life{2}, {{guilty, run_time}}}}, {}, {}});
+        witness.end(1, {harmful_request});
+        witness.sent_messages.clear(); // lost
+        witness.attribution.on_news(witness.now,
+                                    {{{endpoint_life{2}, {{harmful_request, run_time}}}}, {}, {}});
     }
     SECTION("those of later, before a verdict that waits for it")
     {
         for (std::uint64_t n = 2; n <= 3; ++n)
-            witness.it.on_news(witness.now, {{{endpoint_life{n}, {{guilty, run_time}}}}, {}, {}});
-        witness.end(1, {guilty});
-        witness.told.clear();
-        witness.pass(witness.it.options().verdict_delay);
+            witness.attribution.on_news(witness.now,
+                                        {{{endpoint_life{n}, {{harmful_request, run_time}}}}, {}, {}});
+        witness.end(1, {harmful_request});
+        witness.sent_messages.clear();
+        witness.pass(witness.attribution.options().verdict_delay);
     }
-    for (const auto& e : witness.told)
-        by.it.on_news(by.now, e);
-    CHECK(by.it.standing_of(by.now, guilty).ends == 1);
+    for (const auto& e : witness.sent_messages)
+        instance.attribution.on_news(instance.now, e);
+    CHECK(instance.attribution.standing_of(instance.now, harmful_request).ends == 1);
 }
 
 TEST_CASE("an account that fills the memory loses its own records")
 {
     attribution_options options;
-    options.most_requests = 10;
-    observer by{options};
+    options.max_tracked_requests = 10;
+    observer instance{options};
     const core::account_id other{"other"};
     const core::account_id attacker{"attacker"};
     const auto kept = fingerprint_of(content_hash{7}, other);
-    by.end(1, {kept});
+    instance.end(1, {kept});
     for (std::uint64_t n = 0; n < 50; ++n)
-        by.end(100 + n, {fingerprint_of(content_hash{n}, attacker)});
-    CHECK(by.it.size() <= options.most_requests);
-    CHECK(by.it.standing_of(by.now, kept).ends == 1);
+        instance.end(100 + n, {fingerprint_of(content_hash{n}, attacker)});
+    CHECK(instance.attribution.size() <= options.max_tracked_requests);
+    CHECK(instance.attribution.standing_of(instance.now, kept).ends == 1);
 }
 
 TEST_CASE("a fingerprint names content and account, and reads back from its text")
--- a/src/runlink/places/advertised_limits_test.cpp
+++ b/src/runlink/places/advertised_limits_test.cpp
@@ -1,4 +1,4 @@
-// Requests at endpoints that name a limit, from all instances together.
+// The total request rate of all instances to endpoints that advertise a limit.
 
 #include <catch2/catch.hpp>
 
@@ -30,32 +30,32 @@
     return endpoint_id{"e" + std::to_string(n)};
 }
 
-/// What an endpoint with this limit stands in four seconds.
-std::size_t most_borne(double limit)
+/// Number of requests that an endpoint with this limit can handle in four seconds.
+std::size_t max_accepted(double limit)
 {
     return static_cast<std::size_t>(std::floor(1.5 * 4 * limit)) + 5;
 }
 
-/// How instances ask an endpoint, and hear of each other.
+/// Parameters of the instances' requests and of the network between the instances.
 struct limit_case
 {
     int instances = 7;
     double limit = 2.2;
-    double requests_per_s = 60; ///< of all instances
-    double uneven = 0;          ///< part of the requests that the first instance gets
-    int asks_from = 0;          ///< instances before this one have no requests
+    double requests_per_s = 60;      ///< from all instances together
+    double first_instance_share = 0; ///< fraction of the requests that only the first instance gets
+    int first_with_requests = 0;     ///< instances before this one have no requests
     double datagrams_lost = 0;
     milliseconds datagram_delay{5};
-    milliseconds connect_time{0}; ///< at most, between a send and its arrival
-    bool hears = true;            ///< whether datagrams arrive at all
-    int unknown_one_in = 0;       ///< views that lack an instance
+    milliseconds connect_time{0};   ///< maximum time between a send and its arrival
+    bool delivers_datagrams = true; ///< whether datagrams arrive at all
+    int unknown_one_in = 0; ///< one in this many entries is missing in the lists of instances; 0: none
 };
 
-/// Instances with random requests before one endpoint that names its limit from the beginning.
+/// Instances with random requests for one endpoint, which advertises its limit from the start.
 class limit_fleet
 {
 public:
-    explicit limit_fleet(const limit_case& of, named_limit_options options = {}) : case_{of}
+    explicit limit_fleet(const limit_case& of, advertised_limit_options options = {}) : case_{of}
     {
         for (int n = 0; n < of.instances; ++n)
         {
@@ -83,7 +83,7 @@
     }
 
     void set_requests(double per_s) { case_.requests_per_s = per_s; }
-    named_limits& at(int n) { return all_[static_cast<std::size_t>(n)]; }
+    advertised_limits& at(int n) { return all_[static_cast<std::size_t>(n)]; }
     time_point now() const { return now_; }
     std::size_t arrived() const { return arrivals_.size(); }
     std::size_t most_in_window() const
@@ -116,9 +116,10 @@
         constexpr double ms_per_s = 1000;
         if (!happens(case_.requests_per_s / ms_per_s))
             return;
-        const int n =
-            happens(case_.uneven) ? 0 : static_cast<int>(random_() % static_cast<unsigned>(case_.instances));
-        if (n < case_.asks_from)
+        const int n = happens(case_.first_instance_share)
+                          ? 0
+                          : static_cast<int>(random_() % static_cast<unsigned>(case_.instances));
+        if (n < case_.first_with_requests)
             return;
         if (!at(n).may_send(now_, endpoint()))
             return;
@@ -132,7 +133,7 @@
 
     void send(int from, const core::instance_id& to, const limit_report& what)
     {
-        if (!case_.hears || happens(case_.datagrams_lost))
+        if (!case_.delivers_datagrams || happens(case_.datagrams_lost))
             return;
         for (int n = 0; n < case_.instances; ++n)
             if (instance(n) == to)
@@ -167,13 +168,13 @@
     std::mt19937_64 random_{11};
     time_point now_ = start;
     std::deque<sender_set> views_;
-    std::deque<named_limits> all_;
+    std::deque<advertised_limits> all_;
     std::vector<time_point> arrivals_;
     std::deque<datagram> queue_;
 };
 
-/// Part of the limit that was used.
-double used_part(const limit_fleet& it, double limit, core::seconds length)
+/// Fraction of the limit that was used.
+double used_fraction(const limit_fleet& it, double limit, core::seconds length)
 {
     return static_cast<double>(it.arrived()) / (limit * static_cast<double>(length.count()));
 }
@@ -194,10 +195,10 @@
             limit_fleet it{of};
             it.run(minute);
             INFO(instances << " instances, limit " << limit << ", " << it.most_in_window() << " in 4 s");
-            CHECK(it.most_in_window() <= most_borne(limit));
+            CHECK(it.most_in_window() <= max_accepted(limit));
             CHECK(it.arrived() > 0);
             if (limit >= 1.0)
-                CHECK(used_part(it, limit, minute) > 0.6);
+                CHECK(used_fraction(it, limit, minute) > 0.6);
         }
 }
 
@@ -217,7 +218,7 @@
             limit_fleet it{of};
             it.run(minute);
             INFO(instances << " instances, limit " << limit << ", " << it.most_in_window() << " in 4 s");
-            CHECK(it.most_in_window() <= most_borne(limit));
+            CHECK(it.most_in_window() <= max_accepted(limit));
         }
 }
 
@@ -234,7 +235,7 @@
         limit_fleet it{of};
         it.run(core::seconds{20});
         INFO("limit " << limit << ", " << it.most_in_window() << " in 4 s");
-        CHECK(it.most_in_window() <= most_borne(limit));
+        CHECK(it.most_in_window() <= max_accepted(limit));
         CHECK(it.arrived() > 0);
     }
 }
@@ -248,33 +249,33 @@
             of.instances = instances;
             of.limit = limit;
             of.requests_per_s = 400;
-            of.hears = false;
+            of.delivers_datagrams = false;
             limit_fleet it{of};
             it.run(minute);
             INFO(instances << " instances, limit " << limit);
-            CHECK(it.most_in_window() <= most_borne(limit));
+            CHECK(it.most_in_window() <= max_accepted(limit));
         }
 }
 
-TEST_CASE("the room of senders that have little to send is used by the others")
+TEST_CASE("senders with many requests use the unused parts of the others")
 {
     limit_case of;
     of.limit = 4;
     of.requests_per_s = 30;
-    of.uneven = 0.9;
+    of.first_instance_share = 0.9;
     limit_fleet it{of};
     it.run(minute);
-    CHECK(used_part(it, of.limit, minute) > 0.7);
-    CHECK(it.most_in_window() <= most_borne(of.limit));
-    // Parts that are fixed leave most of it unused.
-    named_limit_options fixed;
-    fixed.heard_for = milliseconds{0};
+    CHECK(used_fraction(it, of.limit, minute) > 0.7);
+    CHECK(it.most_in_window() <= max_accepted(of.limit));
+    // With fixed parts for each sender, most of the limit is unused.
+    advertised_limit_options fixed;
+    fixed.peer_timeout = milliseconds{0};
     limit_fleet other{of, fixed};
     other.run(minute);
-    CHECK(used_part(other, of.limit, minute) < 0.5);
+    CHECK(used_fraction(other, of.limit, minute) < 0.5);
 }
 
-TEST_CASE("nothing is made up for after a lull or a pause")
+TEST_CASE("missed sends are not made up for after a time without requests or a pause")
 {
     limit_case of;
     of.requests_per_s = 0;
@@ -282,17 +283,17 @@
     it.run(minute);
     it.set_requests(400);
     it.run(core::seconds{4});
-    CHECK(it.arrived() <= most_borne(of.limit));
+    CHECK(it.arrived() <= max_accepted(of.limit));
     for (int n = 0; n < of.instances; ++n)
         it.at(n).restart_pace(it.now());
     it.run(minute);
-    CHECK(it.most_in_window() <= most_borne(of.limit));
+    CHECK(it.most_in_window() <= max_accepted(of.limit));
 }
 
 TEST_CASE("a limit ends by the answer to a request that was sent after it was named, and others are told")
 {
     sender_set view{instance(0)};
-    named_limits it{{}, instance(0), view};
+    advertised_limits it{{}, instance(0), view};
     it.settle(start);
     CHECK(it.answered(start, endpoint(), 2.0, start - milliseconds{50}) == limit_change::named);
     const auto later = start + milliseconds{100};
@@ -313,7 +314,7 @@
 {
     sender_set view{instance(0)};
     view.put(instance(1), {});
-    named_limits it{{}, instance(0), view};
+    advertised_limits it{{}, instance(0), view};
     it.settle(start);
     CHECK(it.told(start, instance(1), {endpoint(), 2.0, milliseconds{500}, 0}).change == limit_change::named);
     CHECK(it.told(start, instance(1), {endpoint(), std::nullopt, milliseconds{800}, 0}).change ==
@@ -326,7 +327,7 @@
     CHECK(it.size() == 1);
     it.forget_if(start + core::seconds{11}, [](const endpoint_id&) { return false; });
     CHECK(it.size() == 0);
-    // The entry of one that names a limit may be back after an outage of the store.
+    // The store entry of an endpoint may come back after an outage of the store.
     it.answered(start, endpoint(), 2.0, start);
     it.forget_if(start + core::seconds{599}, [](const endpoint_id&) { return true; });
     CHECK(it.limit_of(endpoint()) == 2.0);
@@ -338,7 +339,7 @@
 {
     sender_set view{instance(0)};
     view.put(instance(1), {});
-    named_limits it{{}, instance(0), view};
+    advertised_limits it{{}, instance(0), view};
     it.told(start, instance(1), {endpoint(), 2.0, milliseconds{0}, 0});
     CHECK(it.take_due(start).to_all.empty());
     it.answered(start + milliseconds{1}, endpoint(2), 1e300, start);
@@ -351,7 +352,7 @@
     sender_set view{instance(0)};
     for (int n = 1; n < 65; ++n)
         view.put(instance(n), {});
-    named_limits it{{}, instance(0), view};
+    advertised_limits it{{}, instance(0), view};
     it.settle(start);
     for (int n = 0; n < 65; ++n)
     {
@@ -366,7 +367,7 @@
 TEST_CASE("a send that is not written yet loses its place to a lower limit")
 {
     sender_set view{instance(0)};
-    named_limits it{{}, instance(0), view};
+    advertised_limits it{{}, instance(0), view};
     it.settle(start);
     CHECK(it.is_counted(endpoint(), start));
     it.answered(start, endpoint(), 10.0, start);
@@ -380,21 +381,21 @@
 
 TEST_CASE("the end of a limit is heard where no sender has anything to send")
 {
-    for (const auto& [instances, asks_from] :
+    for (const auto& [instances, first_with_requests] :
          {std::pair{7, 6}, {65, 64}, {295, 294}, {7, 3}, {65, 8}, {295, 30}})
     {
         limit_case of;
         of.instances = instances;
         of.limit = 0;
         of.requests_per_s = 20 * instances;
-        of.asks_from = asks_from;
+        of.first_with_requests = first_with_requests;
         of.datagrams_lost = 0.1;
         of.unknown_one_in = 29;
         limit_fleet it{of};
         it.run(core::seconds{60});
-        INFO(instances << " instances, " << instances - asks_from << " of them have requests");
+        INFO(instances << " instances, " << instances - first_with_requests << " of them have requests");
         CHECK(it.arrived() > 0);
-        CHECK(it.most_in_window() <= most_borne(0));
+        CHECK(it.most_in_window() <= max_accepted(0));
     }
 }
 
@@ -418,7 +419,7 @@
     int others = 0;
     for (int n = 0; n < 65; ++n)
     {
-        named_limits it{{}, instance(0), view};
+        advertised_limits it{{}, instance(0), view};
         it.settle(start);
         it.answered(start, endpoint(n), 0, start);
         if (it.is_sender(endpoint(n)))
--- a/src/runlink/places/endpoint_rests.cpp
+++ b/src/runlink/places/endpoint_rests.cpp
@@ -13,10 +13,10 @@
         return false;
     const bool was_resting = is_resting(now, id);
     auto& it = records_[id];
-    it.until = std::max(it.until, now + rest);
+    it.rest_until = std::max(it.rest_until, now + rest);
     const auto range = static_cast<std::uint64_t>(std::max<duration::rep>(interval().count(), 1));
     const auto phase = core::stable_hash(self_.str(), core::stable_hash(id.str())) % range;
-    it.next_send = it.until + duration{static_cast<duration::rep>(phase)};
+    it.next_send = it.rest_until + duration{static_cast<duration::rep>(phase)};
     return !was_resting;
 }
 
@@ -28,16 +28,16 @@
 
 void endpoint_rests::took(const endpoint_id& id, time_point sent_at)
 {
-    // The answer to a request that was sent before the rest says nothing of its end.
+    // The answer to a request that was sent before the rest was over does not show that it is over.
     const auto found = records_.find(id);
-    if (found != records_.end() && sent_at >= found->second.until)
+    if (found != records_.end() && sent_at >= found->second.rest_until)
         records_.erase(found);
 }
 
 bool endpoint_rests::is_resting(time_point now, const endpoint_id& id) const
 {
     const auto found = records_.find(id);
-    return found != records_.end() && now < found->second.until;
+    return found != records_.end() && now < found->second.rest_until;
 }
 
 time_point endpoint_rests::next_send(time_point now, const endpoint_id& id) const
@@ -48,13 +48,14 @@
 
 std::size_t endpoint_rests::count_resting(time_point now) const
 {
-    return static_cast<std::size_t>(std::count_if(records_.begin(), records_.end(),
-                                                  [&](const auto& it) { return now < it.second.until; }));
+    return static_cast<std::size_t>(std::count_if(
+        records_.begin(), records_.end(), [&](const auto& it) { return now < it.second.rest_until; }));
 }
 
 void endpoint_rests::expire(time_point now)
 {
-    std::erase_if(records_, [&](const auto& it) { return now >= it.second.next_send + options_.probe_time; });
+    std::erase_if(records_,
+                  [&](const auto& it) { return now >= it.second.next_send + options_.recovery_timeout; });
 }
 
 } // namespace runlink::places
--- a/src/runlink/places/endpoint_rests_test.cpp
+++ b/src/runlink/places/endpoint_rests_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that asked for rest.
+// Sends to endpoints that asked for rest.
 
 #include <catch2/catch.hpp>
 
@@ -44,7 +44,7 @@
     it.sent(after(1100), e1);
     CHECK_FALSE(it.may_send(after(1199), e1));
     CHECK(it.may_send(after(1200), e1));
-    it.took(e1, after(900)); // under way when the rest began
+    it.took(e1, after(900)); // was sent before the rest was over
     CHECK(it.is_recovering(e1));
     it.took(e1, after(1100));
     CHECK(it.may_send(after(1101), e1));
--- a/src/runlink/places/places_test.cpp
+++ b/src/runlink/places/places_test.cpp
@@ -30,7 +30,7 @@
     return endpoint_id{"e" + std::to_string(n)};
 }
 
-/// Instances that send whatever they may to cold endpoints, at every millisecond.
+/// Instances that send to cold endpoints whenever they may, checked every millisecond.
 class fleet
 {
 public:
@@ -46,7 +46,7 @@
     warm_up& at(int n) { return all_.at(static_cast<std::size_t>(n)); }
     int size() const { return static_cast<int>(all_.size()); }
 
-    /// Every instance knows the others but for those that `misses` says.
+    /// Every instance `n` learns of all instances `other` except where `misses(n, other)` holds.
     template <class Misses>
     void settle(const Misses& misses)
     {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The most requests that one endpoint gets in a second, of so many endpoints that turn cold at once.
+    /// The most requests that any endpoint gets in a second when this many endpoints turn cold at once.
     std::size_t most_in_a_second(int endpoints, milliseconds news_spread)
     {
         std::mt19937 random{7};
@@ -94,8 +94,8 @@
     std::deque<warm_up> all_;
 };
 
-/// What a cold endpoint stands: half more than its limit, and a few requests.
-constexpr std::size_t most_borne = 24;
+/// Requests per second that a cold endpoint can handle: 1.5 times its limit and a few more.
+constexpr std::size_t max_accepted = 24;
 
 } // namespace
 
@@ -139,22 +139,22 @@
         fleet it{65, {senders}};
         it.settle([](int, int) { return false; });
         const auto most = it.most_in_a_second(37, milliseconds{0});
-        CHECK(most <= most_borne);
-        CHECK(most >= 10); // what the endpoints bear is used
+        CHECK(most <= max_accepted);
+        CHECK(most >= 10); // the capacity of the endpoints is used
     }
-    // Without the bound all 65 send at the first moment.
+    // Without the bound, all 65 instances send at once.
     fleet unbounded{65, {}};
     for (int n = 0; n < unbounded.size(); ++n)
         unbounded.at(n).set_limit(pool, {1e6, limit.cold_time});
     unbounded.settle([](int, int) { return false; });
-    CHECK(unbounded.most_in_a_second(1, milliseconds{0}) > most_borne);
+    CHECK(unbounded.most_in_a_second(1, milliseconds{0}) > max_accepted);
 }
 
 TEST_CASE("the bound holds where views of the instances differ, and news come at different times")
 {
     fleet it{65, {}};
     it.settle([](int n, int other) { return n != other && (n * 31 + other * 17) % 29 == 0; });
-    CHECK(it.most_in_a_second(37, milliseconds{800}) <= most_borne);
+    CHECK(it.most_in_a_second(37, milliseconds{800}) <= max_accepted);
 }
 
 TEST_CASE("the bound holds in small and in large fleets")
@@ -163,7 +163,7 @@
     {
         fleet it{size, {}};
         it.settle([](int, int) { return false; });
-        CHECK(it.most_in_a_second(3, milliseconds{0}) <= most_borne);
+        CHECK(it.most_in_a_second(3, milliseconds{0}) <= max_accepted);
     }
 }
 
@@ -199,7 +199,7 @@
                 it.sent(now, endpoint(1));
                 ++sent;
             }
-    CHECK(sent <= most_borne);
+    CHECK(sent <= max_accepted);
 }
 
 TEST_CASE("a suspicion outlasts entries that were written before it")
--- a/src/runlink/places/warm_up.cpp
+++ b/src/runlink/places/warm_up.cpp
@@ -37,7 +37,7 @@
 duration warm_up::interval(const record& it) const
 {
     constexpr double us_per_s = 1e6;
-    const auto rate = it.requests_per_s * options_.rate_part / static_cast<double>(sender_count());
+    const auto rate = it.requests_per_s * options_.rate_fraction / static_cast<double>(sender_count());
     return duration{static_cast<duration::rep>(us_per_s / rate)};
 }
 
@@ -47,7 +47,7 @@
     if (is_cold(now, it))
         return it;
     it.requests_per_s = limit.requests_per_s;
-    // Senders begin at different times: all of them learn of the cold endpoint at once.
+    // All senders learn of the cold endpoint at about the same time, so their first sends are spread.
     const auto phase = core::stable_hash(self_.str(), core::stable_hash(id.str())) %
                        static_cast<std::uint64_t>(interval(it).count());
     it.next_send = now + duration{static_cast<duration::rep>(phase)};
@@ -61,9 +61,9 @@
         return false;
     const bool was_cold = is_cold(now, id);
     if (cold_for.count() > 0)
-        begin(now, id, *limit).told_until = now + cold_for;
+        begin(now, id, *limit).reported_cold_until = now + cold_for;
     else if (was_cold)
-        records_.at(id).told_until = now;
+        records_.at(id).reported_cold_until = now;
     return !was_cold && is_cold(now, id);
 }
 
@@ -75,7 +75,7 @@
     const bool was_cold = is_cold(now, id);
     const auto delay = why == cold_reason::unreachable ? options_.news_delay : milliseconds{0};
     auto& it = begin(now, id, *limit);
-    it.suspected_until = std::max(it.suspected_until, now + delay + limit->cold_time);
+    it.assumed_cold_until = std::max(it.assumed_cold_until, now + delay + limit->cold_time);
     return !was_cold;
 }
 
@@ -103,15 +103,16 @@
 time_point warm_up::cold_until(const endpoint_id& id) const
 {
     const auto found = records_.find(id);
-    return found == records_.end() ? time_point::min()
-                                   : std::max(found->second.told_until, found->second.suspected_until);
+    return found == records_.end()
+               ? time_point::min()
+               : std::max(found->second.reported_cold_until, found->second.assumed_cold_until);
 }
 
 time_point warm_up::next_send(time_point now, const endpoint_id& id) const
 {
     const auto found = records_.find(id);
     if (found == records_.end() || !is_cold(now, found->second) || !settled_)
-        return now; // the others are known within a moment
+        return now; // the list of instances will be complete shortly
     if (!is_sender(id))
         return cold_until(id);
     return std::max(now, found->second.next_send);
