--- a/include/runlink/crashes/recent_set.hpp
+++ b/include/runlink/crashes/recent_set.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A set of bounded size.
+/// A set of bounded size, for values that arrive without end.
 #pragma once
 
 #include <cstddef>
