--- a/include/runlink/routing/answer_counts.hpp
+++ b/include/runlink/routing/answer_counts.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many answers of a version were as they should be, by route and model, and over time.
+/// Counts of a version's answers and of the flaws among them, in total and over the latest seconds.
 #pragma once
 
 #include <array>
@@ -14,20 +14,21 @@
 namespace runlink::routing
 {
 
-/// What may be wrong with an answer. The slow ones include those that are slower still.
+/// What may be wrong with an answer. Each degree of slowness includes the higher ones: a `very_slow` answer
+/// also counts as `slow` and `late`.
 enum class answer_flaw : std::size_t
 {
-    failed,    ///< a failure of the endpoint, or no whole answer
-    late,      ///< over 1.25 times what was expected
-    slow,      ///< over 3 times
-    very_slow, ///< over 6 times, or nothing more came
+    failed,    ///< the endpoint failed, or the answer is incomplete
+    late,      ///< over 1.25 times the expected time
+    slow,      ///< over 3 times the expected time
+    very_slow, ///< over 6 times the expected time, or the answer stalled
 };
 constexpr std::size_t answer_flaws = 4;
 constexpr std::array<answer_flaw, answer_flaws> all_answer_flaws{answer_flaw::failed, answer_flaw::late,
                                                                  answer_flaw::slow, answer_flaw::very_slow};
 std::string_view to_string(answer_flaw it);
 
-/// Answers, and how many of them had which flaw.
+/// The number of answers, and for each flaw the number of answers that have it.
 struct answer_counts
 {
     std::uint32_t all = 0;
@@ -36,13 +37,15 @@
     std::uint32_t& operator[](answer_flaw it) { return with[static_cast<std::size_t>(it)]; }
     std::uint32_t operator[](answer_flaw it) const { return with[static_cast<std::size_t>(it)]; }
     answer_counts& operator+=(const answer_counts& it);
-    /// What came on top of an earlier count; all of it where that one was higher, as after a restart.
+    /// The increase since an earlier count. Returns the whole count if any of the earlier numbers is higher,
+    /// as after a restart of the process that counts.
     answer_counts since(const answer_counts& earlier) const;
 
     friend bool operator==(const answer_counts&, const answer_counts&) = default;
 };
 
-/// Answers that may be compared: prompts and engines differ between routes and models.
+/// Key of answers that are comparable with each other. Prompts and inference engines differ between routes
+/// and models, so answers of different groups are not compared.
 struct answer_group
 {
     std::string route;
@@ -51,24 +54,24 @@
     friend auto operator<=>(const answer_group&, const answer_group&) = default;
 };
 
-/// Sums over the last seconds and since the beginning.
+/// Counts since the beginning and in each of the latest seconds.
 ///
-/// Answers a version that turns bad after a good time: its first answers no longer outweigh the latest.
+/// The short windows find a version that starts to fail after a good period, which the total would hide.
 class answer_window
 {
 public:
-    /// Seconds that are kept one by one.
+    /// Length of the history with one count per second.
     static constexpr std::size_t seconds_kept = 8;
 
     void add(core::time_point now, const answer_counts& it);
     const answer_counts& total() const { return total_; }
-    /// Of the last few seconds; of `seconds_kept` at most.
+    /// Counts of the latest `seconds`, including the current one; at most `seconds_kept`.
     answer_counts latest(core::time_point now, std::size_t seconds) const;
 
 private:
     struct second
     {
-        std::int64_t number = -1;
+        std::int64_t number = -1; ///< seconds since the epoch of the clock; -1: unused
         answer_counts counts;
     };
     std::array<second, seconds_kept> seconds_;
--- a/include/runlink/routing/answer_times.hpp
+++ b/include/runlink/routing/answer_times.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the times of an answer are compared with, and which flaws it has.
+/// Reference times of answers, and the classification of an answer by its flaws.
 #pragma once
 
 #include <map>
@@ -13,32 +13,33 @@
 namespace runlink::routing
 {
 
-/// What is known of one answer of an endpoint so far.
+/// What is known so far about one answer of an endpoint.
 struct version_sample
 {
     core::service_id service;
     core::version_id version;
     core::endpoint_id endpoint;
     answer_group group;
-    bool is_bad = false;       ///< a failure, or lost after it may have run
-    bool is_stalled = false;   ///< given up, as nothing more came
-    bool is_open = false;      ///< no first byte came; it takes longer than `first`
-    core::duration first{};    ///< time to the first byte; 0 where not measured
-    core::duration expected{}; ///< of `first`, by what waits and is to be read; 0 where not known
-    core::duration pace{};     ///< mean time between events; 0 where not measured
+    bool is_bad = false;       ///< the request failed, or was lost after it may have run
+    bool is_stalled = false;   ///< abandoned because no more data arrived
+    bool is_open = false;      ///< no first byte yet; `first` is a lower bound
+    core::duration first{};    ///< time to first byte; 0: not measured
+    core::duration expected{}; ///< estimate of `first` from the backlog and the prompt; 0: unknown
+    core::duration pace{};     ///< mean time between events; 0: not measured
 };
 
-/// Times of a service's answers, as this instance sees them.
+/// Typical times of a service's answers, as measured by this instance.
 class answer_times
 {
 public:
-    /// Which flaws the answer has: one answer, or none where an open one says nothing yet.
+    /// Counts one answer with its flaws. Returns an empty count for a pending answer that shows no flaw so
+    /// far.
     answer_counts judge(const version_sample& it) const;
-    /// Takes a sound version's answer for typical.
+    /// Adds a complete answer of a version that is not on trial to the typical times.
     void learn(const version_sample& it);
 
 private:
-    std::map<answer_group, typical_time> first_;
+    std::map<answer_group, typical_time> first_; ///< time to first byte, where no estimate is available
     std::map<core::model_id, typical_time> pace_;
 };
 
--- a/include/runlink/routing/endpoint_backlog.hpp
+++ b/include/runlink/routing/endpoint_backlog.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Prompts that endpoints have been sent, by all instances, and have not read yet.
+/// Estimated backlog of each endpoint: prompts that all instances have sent and the endpoint has not read
+/// yet.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +17,42 @@
 /// Parameters of the estimate.
 struct backlog_options
 {
-    /// An entry that nobody has seen answered counts for this long at most: longer waits are found by
-    /// timers of the requests themselves.
+    /// Longest time that an unanswered entry counts. Longer waits are handled by the timers of the requests
+    /// themselves.
     milliseconds longest{10'000};
 };
 
-/// For each endpoint, the time that it will still take to read what was sent to it.
+/// Estimates for each endpoint the time that it needs to read the prompts sent to it.
 ///
-/// Answers bursts and long prompts: an instance with a sixth of the requests sees a sixth of the load, and
-/// sends short requests behind the long prompts of others. Each instance tells the others of the prompts that
-/// it sends, so that all know the same queue. Work is taken to be done one after the other; an answer shows
-/// that what was sent before it has been read, which takes the error of the estimate out again.
+/// An instance that handles a sixth of the requests sees only a sixth of the load, and would queue short
+/// requests behind long prompts of other instances. Each instance therefore announces the prompts that it
+/// sends, so that all instances know the same queue. The estimate assumes that an endpoint reads prompts one
+/// after the other. An answer shows that everything sent before it has been read, which corrects the
+/// estimate.
+///
+/// *Local* work is sent by instances of the own failure domain, which announce each prompt; *remote* work by
+/// instances of other failure domains, known from load digests.
 class endpoint_backlog
 {
 public:
     explicit endpoint_backlog(backlog_options options = {}) : options_{options} {}
 
-    /// Work for an endpoint was sent, by this instance or another. Own work counts until its answer begins.
+    /// A prompt was sent to an endpoint, by this instance (`is_own`) or a peer. `work` is the expected time
+    /// to read it. Own work counts until its answer begins.
     void sent(time_point now, endpoint_hash to, duration work, bool is_own);
-    /// The answer to what was sent then, by any instance, has begun. Own work is taken out with `withdrawn`.
+    /// The answer to a prompt that any instance sent at `sent_at` has begun. Removes the work of peers up to
+    /// that time; own work is removed by `withdrawn`.
     void answered(time_point now, endpoint_hash from, time_point sent_at);
-    /// Own work that was sent then is over: its answer has begun, or it was cancelled before.
+    /// Removes own work that was sent at `sent_at`: its answer has begun, or the attempt was cancelled.
     void withdrawn(time_point now, endpoint_hash from, time_point sent_at);
-    /// Time until the endpoint has read all that is known to be waiting there.
+    /// Expected time until the endpoint has read all prompts that are known to wait there.
     duration left(time_point now, endpoint_hash of) const;
-    /// What instances that do not tell of each prompt have sent, all of it; replaces what was told before.
+    /// Replaces the loads caused by other failure domains, whose instances do not announce each prompt.
     void told_far(time_point now, const std::vector<endpoint_load>& all);
-    /// What is known of single prompts, for those instances.
+    /// The loads of at least `least` caused by instances that announce each prompt, for the load digest to
+    /// other failure domains.
     std::vector<endpoint_load> near_loads(time_point now, milliseconds least) const;
+    /// Drops entries that are older than `longest`, and idle endpoints.
     void expire(time_point now);
 
 private:
@@ -55,12 +64,12 @@
     };
     struct queue
     {
-        std::deque<entry> entries; ///< not known to be read, oldest first
-        time_point busy_until = time_point::min();
+        std::deque<entry> entries;                 ///< prompts not known to be read, oldest first
+        time_point busy_until = time_point::min(); ///< expected end of reading all entries
     };
 
     static duration near_left(time_point now, const queue& it);
-    /// No more is left than all entries together.
+    /// Limits `busy_until` to the time that the remaining entries need together.
     static void shorten(time_point now, queue& it);
 
     backlog_options options_;
--- a/include/runlink/routing/endpoint_chooser.hpp
+++ b/include/runlink/routing/endpoint_chooser.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which endpoint runs an attempt: where its prompt is read soonest, own requests in flight, recent failures.
+/// Chooses the endpoint for an attempt by prompt cost, requests in flight and recent failures.
 #pragma once
 
 #include <cstdint>
@@ -21,28 +21,29 @@
 /// Parameters of the choice.
 struct chooser_options
 {
-    milliseconds refusal_pause{150};  ///< after an endpoint refused for want of room
-    milliseconds first_ejection{800}; ///< after a connection did not come up, or answers broke in a row
-    milliseconds longest_ejection{6000};
-    std::uint32_t failures_to_eject = 2; ///< broken answers in a row
-    /// Requests in flight at an endpoint of the own failure domain, over the least loaded one, that are
-    /// accepted for the shorter way.
+    milliseconds refusal_pause{150};     ///< backoff after a refusal for lack of capacity
+    milliseconds first_ejection{800};    ///< backoff after a failed connection or repeated broken answers
+    milliseconds longest_ejection{6000}; ///< the backoff doubles with each failure up to this
+    std::uint32_t failures_to_eject = 2; ///< consecutive broken answers
+    /// Number of requests in flight by which an endpoint of the own failure domain may exceed one of another
+    /// failure domain and still be preferred, for its shorter network path.
     std::uint32_t near_bonus = 1;
     placement_options placement;
 };
 
-/// What an attempt needs.
+/// Constraints of an attempt on its endpoint.
 struct endpoint_need
 {
     service_id service;
-    std::optional<prompt_need> prompt; ///< of services that run models
+    std::optional<prompt_need> prompt; ///< only for services that run models
     rollout_control::choice versions;
-    const std::set<endpoint_id>* tried = nullptr;
-    /// Whether the request may go to an endpoint now: by its failure domain, region and warm-up.
+    const std::set<endpoint_id>* tried =
+        nullptr; ///< endpoints of earlier attempts, not used again; may be null
+    /// Whether the request may be sent to an endpoint now, given its failure domain, region and warm-up.
     std::function<bool(const endpoint_entry&)> may_use = [](const endpoint_entry&) { return true; };
 };
 
-/// Chooses endpoints. Endpoints that fail are put aside for a growing time.
+/// Chooses endpoints. An endpoint that fails is avoided for an exponentially growing backoff.
 class endpoint_chooser
 {
 public:
@@ -51,15 +52,15 @@
     {
     }
 
-    /// An endpoint, or null if none may be used; the turn passes.
+    /// Returns an endpoint, or null if none may be used, and advances the rotation.
     const endpoint_entry* choose(time_point now, const endpoint_directory& from, const endpoint_need& need);
-    /// The one that `choose` would give.
+    /// Returns what `choose` would return, without advancing the rotation.
     const endpoint_entry* peek(time_point now, const endpoint_directory& from,
                                const endpoint_need& need) const;
-    /// Where costs are equal, another endpoint comes first from now on.
+    /// Advances the round-robin order among endpoints of equal cost.
     void pass_turn() { ++turn_; }
     using candidates = std::vector<const endpoint_entry*>;
-    /// Endpoints that fit, those that are passed over for failures included.
+    /// Endpoints that meet the constraints of `need`, including those in backoff.
     candidates fitting(time_point now, const endpoint_directory& from, const endpoint_need& need) const;
 
     prompt_placement& placement() { return placement_; }
@@ -67,27 +68,32 @@
 
     void started(const endpoint_id& id);
     void finished(const endpoint_id& id);
+    /// A complete answer resets the failure count.
     void answered(const endpoint_id& id);
+    /// The endpoint refused a request for lack of capacity.
     void refused(time_point now, const endpoint_id& id);
+    /// A connection to the endpoint could not be established.
     void not_reached(time_point now, const endpoint_id& id);
+    /// An answer failed or broke off.
     void broke(time_point now, const endpoint_id& id);
-    /// Forgets what is known of endpoints that the directory has dropped.
+    /// Drops the state of endpoints that are no longer in the directory and have no requests in flight.
     void keep_only(const endpoint_directory& directory);
 
     std::uint32_t in_flight(const endpoint_id& id) const;
-    /// Whether it failed so lately that it is passed over where others may be used.
+    /// Whether the endpoint is in backoff, and used only if no other endpoint is available.
     bool is_aside(time_point now, const endpoint_id& id) const { return now < at(id).aside_until; }
 
 private:
     struct load
     {
         std::uint32_t in_flight = 0;
-        std::uint32_t failures = 0; ///< in a row
+        std::uint32_t failures = 0; ///< consecutive
         time_point aside_until = time_point::min();
     };
 
     const load& at(const endpoint_id& id) const;
     void eject(time_point now, load& it);
+    /// The candidates that are not in backoff.
     candidates sound(time_point now, const candidates& from) const;
     const endpoint_entry* soonest(time_point now, const candidates& from, const prompt_need& need) const;
     const endpoint_entry* least_loaded(const candidates& from) const;
@@ -96,7 +102,7 @@
     failure_domain_id own_domain_;
     prompt_placement placement_;
     std::map<endpoint_id, load> loads_;
-    std::uint64_t turn_ = 1; ///< where costs are equal, endpoints take turns
+    std::uint64_t turn_ = 1; ///< index of the first candidate, for round-robin among equal costs
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/endpoint_directory.hpp
+++ b/include/runlink/routing/endpoint_directory.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The endpoints that the store lists, and which of them are leaving.
+/// The endpoints listed in the store, and which of them are shutting down.
 #pragma once
 
 #include <cstdint>
@@ -24,100 +24,105 @@
 using core::time_point;
 using core::version_id;
 
-/// The id of one life. Loads, failures, kept prompts and evidence are remembered by it, so that all of them
-/// end with the life.
+/// The id of one incarnation of an endpoint, from its start to its end. Loads, failures, cached prompts and
+/// roll-out evidence are stored under this id, so that a restarted endpoint begins without them. Incarnation
+/// 0 has the name as its id.
 endpoint_id life_of(const endpoint_name& name, endpoint_incarnation incarnation);
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 struct endpoint_entry
 {
     endpoint_id id; ///< see `life_of`
     endpoint_name name;
     endpoint_incarnation incarnation;
     service_id service;
-    std::string host; ///< an IP number
+    std::string host; ///< an IP address
     std::uint16_t port = 0;
     failure_domain_id failure_domain;
-    version_id version; ///< of its software or weights
+    version_id version; ///< of its software or model weights
     std::uint32_t slots = 1;
-    bool leaving = false;
-    milliseconds cold_for{}; ///< how much longer it bears little load, as it said when it wrote this
+    bool leaving = false;    ///< shutting down, takes no new work
+    milliseconds cold_for{}; ///< remaining warm-up with reduced load, as of the writing of the entry
 
     friend bool operator==(const endpoint_entry&, const endpoint_entry&) = default;
 };
 
-/// Bounds of the directory.
+/// Time limits of the directory.
 struct directory_options
 {
-    /// How long an entry that vanished around an outage of the store is still used: endpoints that live
-    /// write theirs again within about two seconds of the store's return.
+    /// How long an entry that vanished with an outage of the store is still used. Live endpoints write their
+    /// entries again within about two seconds of the store's return.
     milliseconds vanished_grace{1700};
-    /// An entry that vanishes this soon after the store was back counts as lost with the outage.
+    /// An entry that vanishes within this time after the store's return counts as lost by the outage.
     milliseconds outage_shadow{2500};
-    /// How long an endpoint that says in an answer that it leaves may still get what fits nowhere else. Below
-    /// the time for which it serves on, less the way there. 0: not at all.
+    /// How long an endpoint that announced its shutdown in an answer may still get requests that no other
+    /// endpoint can take. Must be below the endpoint's remaining service time minus the network delay. 0:
+    /// never.
     milliseconds last_resort{1400};
-    /// Marks of lives that are not listed are kept for this long: their entries may be back.
+    /// How long the leaving mark of an unlisted incarnation is kept, since its entry may reappear.
     milliseconds marks_kept{600'000};
 };
 
-/// Takes what the store says and answers which endpoints may get new work. A leaving mark is never taken
-/// back in one life. The news of an earlier life changes nothing, also when it comes after the entry is gone.
+/// Tracks the endpoint entries of the store, and tells which endpoints may get new work.
+///
+/// A leaving mark lasts for the whole incarnation. Updates of an earlier incarnation are ignored, also after
+/// its entry was removed.
 class endpoint_directory
 {
 public:
     explicit endpoint_directory(directory_options options = {}) : options_{options} {}
 
-    /// What became of an entry.
+    /// Effect of an update on an entry.
     enum class change
     {
         none,
         added,
         updated,
         leaving,
-        restarted, ///< a later life has taken the place of the one that was known
-        outdated,  ///< news of an earlier life
+        restarted, ///< a later incarnation replaced the known one
+        outdated,  ///< the update belongs to an earlier incarnation and was ignored
         removed,
     };
 
+    /// Adds or updates an entry.
     change put(const endpoint_entry& it);
-    /// The entry is gone from the store.
+    /// The entry was deleted from the store. Shortly after an outage it stays usable for a grace period.
     change remove(time_point now, const endpoint_name& name);
-    /// The entry cannot be read: somebody else wrote it, so that it says nothing about an endpoint that
-    /// lives.
+    /// Removes an entry that cannot be parsed. A foreign writer overwrote it, so it does not describe a live
+    /// endpoint, and no grace period applies.
     change drop(const endpoint_name& name);
-    /// The whole list as it stands now; what it lacks is gone.
+    /// Takes the complete list of entries; entries that are not in it are removed.
     void replace(time_point now, const std::vector<endpoint_entry>& all);
-    /// The endpoint says itself that it leaves, since that time. Holds for its life, whatever its entry says.
-    /// Returns whether it is news.
+    /// The endpoint has announced its shutdown itself, at time `since`. The mark holds for the incarnation,
+    /// whatever its entry says. Returns false if the mark was already known.
     bool mark_leaving(time_point since, const endpoint_id& id);
-    /// Whether it leaves, by its entry or by its word, as far as is known.
+    /// Whether the endpoint is known to be shutting down, by its entry or by its own announcement.
     bool is_leaving(const endpoint_id& id) const;
-    /// Lives that are leaving by their own word, and since when.
+    /// Incarnations that announced their shutdown themselves, and when.
     const std::map<endpoint_id, time_point>& leaving_marks() const { return marks_; }
-    /// The store was away until now.
+    /// The store is reachable again after an outage.
     void store_returned(time_point now) { store_returned_at_ = now; }
 
-    /// Endpoints of a service that may get new work. One that leaves may not.
+    /// Endpoints of a service that may get new work, without those that are leaving.
     std::vector<const endpoint_entry*> usable(time_point now, const service_id& service) const;
-    /// Endpoints of a service that leave by their own word, not by their entry, and may still get what fits
-    /// nowhere else.
+    /// Endpoints of a service that announced their shutdown themselves but are not yet listed as leaving.
+    /// They may still get requests that no other endpoint can take, for `directory_options::last_resort`.
     std::vector<const endpoint_entry*> last_resorts(time_point now, const service_id& service) const;
     bool is_last_resort(time_point now, const endpoint_id& id) const;
     std::vector<const endpoint_entry*> of_domain(const failure_domain_id& domain) const;
     const endpoint_entry* find(const endpoint_id& id) const;
-    /// The first one that fits, or null.
+    /// The first entry for which `fits` returns true, or null.
     const endpoint_entry* find_if(const std::function<bool(const endpoint_entry&)>& fits) const;
     bool may_get_work(time_point now, const endpoint_id& id) const;
     std::size_t size() const { return records_.size(); }
-    /// Forgets entries whose grace is over, and old marks.
+    /// Removes entries whose grace period is over, and old leaving marks.
     void forget_vanished(time_point now);
 
 private:
     struct record
     {
         endpoint_entry entry;
-        time_point usable_until = time_point::max();
+        time_point usable_until = time_point::max(); ///< earlier if the entry vanished with an outage
         bool is_listed_as_leaving = false;
     };
 
@@ -132,9 +137,9 @@
 
     directory_options options_;
     std::map<endpoint_id, record> records_;
-    std::map<endpoint_name, endpoint_id> lives_;                 ///< of `records_`
-    std::map<endpoint_name, endpoint_incarnation> incarnations_; ///< the latest that was heard of
-    std::map<endpoint_id, time_point> marks_; ///< lives that said themselves that they leave, and when
+    std::map<endpoint_name, endpoint_id> lives_;                 ///< current incarnation, in `records_`
+    std::map<endpoint_name, endpoint_incarnation> incarnations_; ///< latest known incarnation
+    std::map<endpoint_id, time_point> marks_; ///< by incarnation: when it announced its shutdown itself
     time_point store_returned_at_ = time_point::min();
 };
 
--- a/include/runlink/routing/kept_prompts.hpp
+++ b/include/runlink/routing/kept_prompts.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which endpoints are thought to keep the shared parts of a prompt in memory.
+/// Which endpoints are assumed to have the shared parts of a prompt in their prompt cache.
 #pragma once
 
 #include <cstddef>
@@ -12,15 +12,16 @@
 namespace runlink::routing
 {
 
-/// Parameters of the memory.
+/// Parameters of the cache model.
 struct kept_prompts_options
 {
-    /// After this long without a request the parts count as dropped: what else the endpoint reads meanwhile
-    /// takes their place.
+    /// Time without a request after which shared parts count as evicted from the endpoint's cache by other
+    /// prompts.
     milliseconds kept_for{15000};
 };
 
-/// Remembers where shared parts were sent lately, by this instance or another. Parts are kept by model.
+/// Tracks to which endpoints this instance and its peers have recently sent shared parts. Caches are separate
+/// for each model.
 class kept_prompts
 {
 public:
@@ -33,7 +34,7 @@
 
 private:
     kept_prompts_options options_;
-    std::map<std::pair<endpoint_hash, prompt_hash>, time_point> used_;
+    std::map<std::pair<endpoint_hash, prompt_hash>, time_point> used_; ///< time of the last use
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/load_digest.hpp
+++ b/include/runlink/routing/load_digest.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What instances of one failure domain have sent to endpoints, told to those of others now and then.
+/// Periodic digests of the endpoint load that one failure domain causes, sent to other failure domains.
 #pragma once
 
 #include <map>
@@ -12,15 +12,15 @@
 namespace runlink::routing
 {
 
-/// Time that an endpoint will still take to read what some instances have sent to it.
+/// Time that an endpoint still needs to read the prompts that a set of instances has sent to it.
 struct endpoint_load
 {
     endpoint_hash endpoint;
     core::milliseconds left{};
 };
 
-/// The loads that the instances of one failure domain cause, or, without one, those of all others than the
-/// receiver's.
+/// The loads that the instances of one failure domain cause. Without a `domain`, those of all failure domains
+/// other than the receiver's.
 struct load_digest
 {
     core::failure_domain_id domain;
@@ -30,19 +30,18 @@
 /// Parameters of the exchange.
 struct load_exchange_options
 {
-    /// Between two digests. Prompts are read for tens to hundreds of milliseconds; what is older than this
-    /// would be mostly read.
+    /// Time between two digests. Reading a prompt takes tens to hundreds of milliseconds, so an older digest
+    /// would mostly list prompts that have been read.
     core::milliseconds interval{120};
-    /// Loads below this are left out: they would be over before they are told.
+    /// Loads below this are omitted, since they are over before the digest arrives.
     core::milliseconds least_load{30};
 };
 
-/// The latest digest of each other failure domain.
+/// Keeps the latest digest of each other failure domain.
 ///
-/// Answers fleets in which not all can be told of each prompt: in a fleet of 295 a short prompt expected no
-/// wait and found 0.57 s for one in ten, because four fifths of what waits came from other failure domains
-/// (time from `dispatched` to `stream_began` in the logs of 33 s). Work is a sum, so that each failure domain
-/// tells its own part only.
+/// In large fleets prompts cannot be announced to every instance. Without digests, one in ten short prompts
+/// in a fleet of 295 instances waited 0.57 s where no wait was expected, because four fifths of the backlog
+/// came from other failure domains. Loads are additive, so each failure domain reports only its own part.
 class load_exchange
 {
 public:
@@ -50,13 +49,13 @@
 
     const load_exchange_options& options() const { return options_; }
     void on_digest(core::time_point now, const load_digest& it);
-    /// All of them together, less the time that has passed.
+    /// The sum of all digests, reduced by the time since each arrived.
     load_digest merged(core::time_point now) const;
 
 private:
     struct told
     {
-        core::time_point at{};
+        core::time_point at{}; ///< arrival
         load_digest digest;
     };
 
