--- a/include/runlink/routing/prompt_placement.hpp
+++ b/include/runlink/routing/prompt_placement.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// At which endpoint a prompt is read soonest and at the least cost.
+/// Chooses the endpoint at which reading a prompt costs least.
 #pragma once
 
 #include <cstdint>
@@ -17,51 +17,52 @@
 /// Parameters of the placement.
 struct placement_options
 {
-    /// What it is worth to keep 1,000 bytes in the own failure domain, as time that a request may wait for
-    /// it: bytes between failure domains are paid for.
+    /// Cost of sending 1,000 bytes to another failure domain, as the extra wait that is accepted to avoid it:
+    /// traffic between failure domains is billed.
     duration far_per_kb{60'000};
-    /// What reading shared parts again costs, as a multiple of its time: those that come behind wait as well.
+    /// Weight of the time to read shared parts that another endpoint has cached. It is above 1 because
+    /// requests queued behind the prompt are delayed as well.
     double again_weight = 4;
-    /// What each unit of time counts that the first token is expected after the target latency: an answer
-    /// that comes late is worth a third or less, so little else outweighs it.
+    /// Weight of the time by which the first token is expected to miss the target latency. It is high because
+    /// a late answer has a third of its value or less.
     int late_weight = 20;
-    /// What each of the own requests in flight adds, for the tokens that it takes part in generating.
+    /// Cost of each own request in flight at the endpoint, for the tokens that it still generates.
     duration per_request{5000};
-    /// Work below this is not told to other instances: datagrams cost more than they would gain.
+    /// Prompts with less expected work are not announced to peers: the datagram costs more than it gains.
     milliseconds least_told{20};
     backlog_options backlog;
     kept_prompts_options kept;
     prompt_speed_options speed;
 };
 
-/// A prompt that is to be read.
+/// A prompt to be placed at an endpoint.
 struct prompt_need
 {
     core::model_id model;
-    prompt_hash shared;              ///< of the parts that requests share, and the model
-    std::uint32_t shared_tokens = 0; ///< of these parts
-    std::uint32_t own_tokens = 0;    ///< of the rest
+    prompt_hash shared;              ///< hash of the parts shared between requests, and of the model
+    std::uint32_t shared_tokens = 0; ///< tokens of the shared parts
+    std::uint32_t own_tokens = 0;    ///< tokens of the rest of the prompt
     std::uint32_t request_bytes = 0;
-    duration time_to_target = duration::max(); ///< until the answer is late
+    duration time_to_target = duration::max(); ///< time left until the target latency is missed
 };
 
-/// A prompt that was sent.
+/// A prompt that was sent to an endpoint, with the estimates at that time.
 struct placed_prompt
 {
     endpoint_hash endpoint;
     core::model_id model;
     time_point sent_at{};
-    std::uint32_t unread_tokens = 0;
-    duration wait{}; ///< expected before the reading began
-    duration work{}; ///< expected for the reading
+    std::uint32_t unread_tokens = 0; ///< tokens that the endpoint has not cached
+    duration wait{};                 ///< expected time before reading starts
+    duration work{};                 ///< expected time to read the prompt
 };
 
-/// Weighs, in time: what waits at an endpoint, what it has to read, the way to it, and what runs there.
+/// Places prompts by a cost in units of endpoint time: the backlog of the endpoint, the time to read the
+/// prompt, the traffic to another failure domain, and the requests in flight.
 ///
-/// Answers long prompts beside short ones (a short one goes where nothing waits), hot prompts (the endpoint
-/// that keeps one is used until reading it again elsewhere is sooner), and bursts (all instances know what
-/// the others have sent). One unit, time of an endpoint, holds for all of them; there is no count to be
-/// exceeded.
+/// With one unit for all of these, no limits on request counts are needed. Short prompts avoid endpoints that
+/// read long ones. A frequent prompt stays at the endpoint that has it cached until reading it again
+/// elsewhere is faster. Bursts spread out, since all instances know what their peers have sent.
 class prompt_placement
 {
 public:
@@ -71,41 +72,43 @@
     {
     }
 
-    /// Own requests at an endpoint that may be chosen.
+    /// An endpoint that may be chosen, and the number of own requests in flight there.
     struct candidate
     {
         const endpoint_entry* endpoint = nullptr;
         std::uint32_t in_flight = 0;
     };
-    /// The endpoint at which the prompt costs least, or null if there is none.
+    /// The endpoint with the lowest cost for the prompt, or null if `from` is empty.
     const endpoint_entry* choose(time_point now, const std::vector<candidate>& from,
                                  const prompt_need& need) const;
 
-    /// What is expected of a prompt if it is sent now.
+    /// Estimates for a prompt if it is sent now.
     placed_prompt expect(time_point now, const endpoint_entry& to, const prompt_need& need) const;
+    /// Records that a prompt is sent now.
     placed_prompt sent(time_point now, const endpoint_entry& to, const prompt_need& need);
-    /// The answer has begun.
+    /// The answer to an own prompt has begun.
     void answered(time_point now, const placed_prompt& it);
-    /// The attempt ended before its answer began.
+    /// The attempt of an own prompt ended before its answer began.
     void withdrawn(time_point now, const placed_prompt& it);
-    /// Another instance sent a prompt.
+    /// A peer sent a prompt.
     void on_peer_sent(time_point now, const prompt_sent& it);
-    /// An endpoint began its answer to a prompt of another instance.
+    /// An endpoint began its answer to a prompt of a peer.
     void on_peer_answered(time_point now, const prompt_answered& it);
-    /// What instances of other failure domains have sent, and what those of the own one have.
+    /// Takes the loads that other failure domains cause.
     void on_far_loads(time_point now, const load_digest& it) { backlog_.told_far(now, it.loads); }
+    /// The loads of at least `least` that the own failure domain causes.
     load_digest near_loads(time_point now, milliseconds least) const
     {
         return {own_domain_, backlog_.near_loads(now, least)};
     }
-    /// Whether other instances are to know of it.
+    /// Whether a prompt is worth announcing to peers.
     bool is_told(const placed_prompt& it) const { return it.work >= options_.least_told; }
-    /// Forgets what is over; about once a second.
+    /// Drops outdated state; to be called about once a second.
     void expire(time_point now);
 
 private:
-    /// The first of all in an order by hash: instances send a prompt that none is known to keep to the same
-    /// endpoint, without having heard of each other.
+    /// The endpoint that rendezvous hashing assigns to the shared parts. Instances thereby send an uncached
+    /// prompt to the same endpoint without coordination.
     static const endpoint_entry* home_of(const std::vector<candidate>& from, const prompt_need& need);
     duration cost(time_point now, const candidate& at, const prompt_need& need, bool is_home) const;
     std::uint32_t unread_tokens(time_point now, endpoint_hash at, const prompt_need& need) const;
--- a/include/runlink/routing/prompt_speed.hpp
+++ b/include/runlink/routing/prompt_speed.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How fast endpoints read prompts, by model, learned from answers.
+/// Estimates from answers how fast endpoints read prompts, by model.
 #pragma once
 
 #include <cstddef>
@@ -16,27 +16,27 @@
 /// Parameters of the estimate.
 struct prompt_speed_options
 {
-    /// Time to read 1,000 tokens before anything was observed: engines read tens of tokens a millisecond.
+    /// Time to read 1,000 tokens before any sample: inference engines read tens of tokens per millisecond.
     core::duration first_guess{20'000};
-    /// Samples of a model that count, the latest ones; they come in within a second or two of load.
+    /// Number of the latest samples that are used per model. Under load they arrive within a second or two.
     std::size_t most_samples = 16;
-    /// Prompts below this say little: a fixed time for the first token outweighs their reading.
+    /// Shorter prompts are not sampled: the fixed time to the first token exceeds their reading time.
     std::uint32_t least_tokens = 1000;
 };
 
-/// Time that a model takes to read a prompt where nothing waits before it.
+/// Estimates the time that a model takes to read a prompt at an idle endpoint.
 ///
-/// Answers load patterns in which prompts and models differ widely: one long prompt on the largest model
-/// keeps an endpoint busy forty times as long as a short one on the smallest, so requests are no unit of
-/// load.
+/// Load is measured in reading time, not in requests: a long prompt on the largest model occupies an endpoint
+/// forty times as long as a short one on the smallest.
 class prompt_speed
 {
 public:
     explicit prompt_speed(prompt_speed_options options = {}) : options_{options} {}
 
-    /// A prompt with this many unread tokens was read in this time, nothing known being before it.
+    /// Adds a sample: a prompt with this many uncached tokens was read in `time`, excluding the expected
+    /// wait.
     void observe(const core::model_id& model, std::uint32_t tokens, core::duration time);
-    /// Expected time for so many unread tokens.
+    /// Expected time to read this many uncached tokens.
     core::duration time_to_read(const core::model_id& model, std::uint32_t tokens) const;
 
 private:
@@ -45,7 +45,7 @@
         std::uint32_t tokens = 0;
         core::duration time{};
 
-        core::duration rate() const; ///< for 1,000 tokens
+        core::duration rate() const; ///< time per 1,000 tokens
     };
     struct samples
     {
@@ -53,7 +53,7 @@
         core::duration per_1k_tokens{};
     };
 
-    /// Time for 1,000 tokens over all samples but those that are far off.
+    /// Time per 1,000 tokens over all samples, without outliers.
     static core::duration rate_of(const std::deque<sample>& samples);
 
     prompt_speed_options options_;
--- a/include/runlink/routing/repeated_news.hpp
+++ b/include/runlink/routing/repeated_news.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// News that other instances are told more than once, since a datagram may be lost.
+/// Announcements that are sent to peers several times, since datagrams may be lost.
 #pragma once
 
 #include <algorithm>
@@ -13,24 +13,25 @@
 namespace runlink::routing
 {
 
-/// Parameters of the repeats.
+/// Parameters of the repetition.
 struct repeated_news_options
 {
-    std::size_t times = 4;
-    core::milliseconds interval{500};
+    std::size_t times = 4;            ///< number of transmissions
+    core::milliseconds interval{500}; ///< between transmissions
 };
 
-/// Tells each id at once, and a few times more.
+/// Schedules the announcement of ids: each is due at once and is then repeated.
 template <class Id>
 class repeated_news
 {
 public:
     explicit repeated_news(repeated_news_options options = {}) : options_{options} {}
 
+    /// Schedules an id, due at once.
     void add(core::time_point now, const Id& id) { pending_[id] = {now, options_.times}; }
-    /// Another instance tells it as well: its repeats are enough.
+    /// Cancels the repetition of an id, because a peer announces it as well.
     void drop(const Id& id) { pending_.erase(id); }
-    /// What is to be told now.
+    /// Returns the ids that are due, and schedules their next transmission.
     std::vector<Id> take_due(core::time_point now)
     {
         std::vector<Id> out;
@@ -45,6 +46,7 @@
         std::erase_if(pending_, [](const auto& it) { return it.second.left == 0; });
         return out;
     }
+    /// When the next id is due, or null if none is pending.
     std::optional<core::time_point> next_due() const
     {
         std::optional<core::time_point> out;
@@ -56,8 +58,8 @@
 private:
     struct repeat
     {
-        core::time_point at{};
-        std::size_t left = 0;
+        core::time_point at{}; ///< next transmission
+        std::size_t left = 0;  ///< remaining transmissions
     };
 
     repeated_news_options options_;
--- a/include/runlink/routing/rollout_control.hpp
+++ b/include/runlink/routing/rollout_control.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Moves a service's requests to a new version, step by step, and takes a bad version out.
+/// Moves a service's requests to a new version in steps, and rolls a faulty version back.
 #pragma once
 
 #include <cstdint>
@@ -33,11 +33,11 @@
 {
     service_id service;
     version_id target;
-    milliseconds allowed{};     ///< the roll-out is to be done by then
+    milliseconds allowed{};     ///< time for the whole roll-out, from the order
     std::uint64_t revision = 0; ///< of the order in the store
 };
 
-/// How a roll-out stands.
+/// State of a roll-out.
 enum class rollout_state
 {
     running,
@@ -47,60 +47,60 @@
 
 std::string_view to_string(rollout_state it);
 
-/// What instances share of a roll-out: written by one, followed by all.
+/// Shared state of a roll-out in the store: written by one instance, followed by all.
 struct rollout_record
 {
     service_id service;
     version_id target;
     rollout_state state = rollout_state::running;
-    std::uint32_t share_percent = 0; ///< of the requests that the new version gets
-    std::uint64_t revision = 0;      ///< of the record in the store; 0: not there yet
+    std::uint32_t share_percent = 0; ///< share of the requests that may go to the new version
+    std::uint64_t revision = 0;      ///< of the record in the store; 0: no record exists
 };
 
 /// Parameters of roll-outs.
 struct rollout_options
 {
     schedule_options schedule;
-    /// Instances wait between nothing and this long before they write, so that mostly one does.
+    /// Instances delay their writes by 0 up to this time, so that usually a single instance writes.
     milliseconds write_spread{500};
-    /// Instances that learn of changes from others write this much later: those that follow the store have
-    /// written by then, and all know it. A roll-back that all of 295 instances found at once cost 284 writes
-    /// (calls counted by kind in their logs), and costs a few.
+    /// Additional delay of instances that learn of store changes from peers, so that the instances that
+    /// follow the store write first. Without it, a roll-back that 295 instances decide at once causes 284
+    /// writes instead of a few.
     milliseconds follower_delay{700};
-    milliseconds rewrite_after{1500}; ///< a write that was not seen by then is tried again
+    milliseconds rewrite_after{1500}; ///< a write that is not confirmed within this time is repeated
     trial_options trial;
-    /// Answers of the new version are told to other instances within this: at a first share of 8 % one of 91
-    /// instances sees an answer in six seconds, and none has seen enough alone. Flawed ones no sooner: told
-    /// within 100 ms beside others within 1 s, failures of 20 % looked like 30 % for as long as the share was
-    /// growing.
+    /// Delay within which answers of the new version are reported to peers. With a first share of 8 %, one of
+    /// 91 instances sees an answer in six seconds, so none has enough evidence alone. The delay is the same
+    /// for flawed and flawless answers: with 100 ms for flawed and 1 s for other answers, a failure rate of
+    /// 20 % looked like 30 % while the share was growing.
     milliseconds tell_time{400};
-    /// Answers to all requests on which a version is declared good, while there is time to wait for them.
-    /// With 2 of them, 0.6 s after the step, one was declared good of which a sixth of the answers failed
-    /// (log of a deployment of six, 26 requests a second).
+    /// Number of answers with the full share that are awaited before a version is declared good, while there
+    /// is time. In a deployment of six instances with 26 requests per second, a version that failed a sixth
+    /// of its answers was declared good on 2 answers, 0.6 s after the step.
     std::uint32_t least_answers = 40;
-    /// While in doubt about a version, its next step is looked at again after this.
+    /// Interval at which a step that is held back for doubt is considered again.
     milliseconds doubt_interval{100};
-    /// A version that is in doubt is waited with until this long before the end, then taken out or declared
-    /// good. One of which a part of the answers began to fail 0.5 s before its turn was declared good with 2
-    /// failures of 9 answers to all requests (seen in the log of a deployment of six).
+    /// Time before the deadline at which a version in doubt is either rejected or declared good. In a
+    /// deployment of six instances, a version that began to fail 0.5 s before the decision was due was
+    /// declared good with 2 failures in 9 answers at the full share.
     milliseconds last_word{300};
 };
 
-/// What this instance knows of a roll-out.
+/// State of a roll-out as known to this instance, for logs.
 struct rollout_standing
 {
     rollout_order order;
     rollout_record record;
-    bool is_bad = false; ///< this instance found it so
-    answer_counts fresh; ///< answers of the new version, as this instance and others counted them
-    answer_counts old;
-    std::size_t peers = 0; ///< other instances whose counts are in
+    bool is_bad = false;   ///< this instance found the target version faulty
+    answer_counts fresh;   ///< answers of the new version, counted by this instance and its peers
+    answer_counts old;     ///< answers of the old version, likewise
+    std::size_t peers = 0; ///< number of peers whose counts are included
 };
 
-/// Decides which version a request may get, and when the roll-out goes on or back.
+/// Decides which version a request may run on, and when a roll-out proceeds or is rolled back.
 ///
-/// Every instance stops sending to a version that it finds bad at once, by itself. The share and the verdict
-/// are in the store, written under a condition, so that all instances follow one line.
+/// Each instance stops sending to a version as soon as it finds the version faulty itself. The share and the
+/// verdict are kept in the store and changed by conditional writes, so that all instances agree on them.
 class rollout_control
 {
 public:
@@ -109,25 +109,27 @@
     {
     }
 
-    /// Returns whether a roll-out begins with it.
+    /// Takes an order; returns whether it starts a new roll-out. An order that is written again unchanged
+    /// does not.
     bool on_order(time_point now, const rollout_order& order);
     void on_order_removed(const service_id& service);
     void on_record(time_point now, const rollout_record& record);
-    /// The record is in the store no more.
+    /// The record was deleted from the store.
     void on_record_removed(time_point now, const service_id& service);
-    /// A list of the store has these orders and records: the others are gone.
+    /// Takes the complete list of services with orders and records in the store; all others are removed.
     void on_listed(time_point now, const std::set<service_id>& orders, const std::set<service_id>& records);
-    /// What became known of an answer. `counted` is what was counted of it before; each flaw counts once.
+    /// Takes new information about an answer. `counted` holds what was already counted for this answer and is
+    /// updated, so that each flaw counts once.
     void on_sample(time_point now, const version_sample& sample, answer_counts& counted);
     /// A request went to an endpoint of this version.
     void on_sent(const service_id& service, const version_id& version);
 
-    /// Which versions a request may run on.
+    /// Versions that a request may run on.
     struct choice
     {
-        std::optional<version_id> only;     ///< this one, if an endpoint is there
-        std::optional<version_id> excluded; ///< never this one
-        std::optional<version_id> avoided;  ///< only where there is no other
+        std::optional<version_id> only;     ///< this version, if it has a usable endpoint
+        std::optional<version_id> excluded; ///< never this version
+        std::optional<version_id> avoided;  ///< only if no other version is available
         bool is_strict = false;             ///< `only` admits no other version
     };
 
@@ -135,29 +137,31 @@
     choice choose(const service_id& service, session_hash session,
                   const std::optional<version_id>& pinned) const;
 
-    /// Whether other instances are to know of this session's runs: only sessions that may get the new version
-    /// in the first half, which must not be moved to it while they are active.
+    /// Whether runs of this session are announced to peers. This is needed only for sessions that fall into
+    /// the first share, since an active session must not be moved to the new version in the first half.
     bool spreads_runs(const service_id& service, session_hash session) const;
-    /// When other instances are to be told what this one has counted.
+    /// When evidence of this instance is to be sent to peers.
     std::optional<time_point> evidence_due() const;
-    /// What they are told now.
+    /// Returns the evidence that is due, and schedules its repetition.
     std::vector<version_evidence> tell_evidence(time_point now);
-    /// What another one has counted; it replaces what that one said before.
+    /// Takes the counts of a peer, which replace its earlier ones.
     void on_peer_evidence(time_point now, const core::instance_id& peer,
                           const std::vector<version_evidence>& it);
 
-    /// Whether this instance follows the store itself.
+    /// Whether this instance follows the store directly rather than through peers.
     void set_follows_store(bool it) { follows_store_ = it; }
-    /// A record that this instance should write now.
+    /// The records that this instance should write to the store now.
     std::vector<rollout_record> due(time_point now);
-    /// When `due` should be asked next.
+    /// When `due` should be called next.
     std::optional<time_point> next_due() const;
-    /// Whether the write took place; otherwise the record in the store is another one.
+    /// A conditional write failed because the record in the store has changed; it is retried later.
     void on_write_failed(time_point now, const service_id& service);
 
-    /// A roll-out that is not finished, or null. For logs and metrics.
+    /// The record of the service's roll-out while its order exists, or null. For logs and metrics.
     const rollout_record* find(const service_id& service) const;
+    /// The state of the service's latest roll-out, if any.
     std::optional<rollout_standing> standing(const service_id& service) const;
+    /// Called when this instance finds a version faulty.
     std::function<void(const service_id&, const version_fault&)> on_verdict = [](const auto&, const auto&) {};
 
 private:
@@ -167,43 +171,49 @@
 
         rollout_order order;
         rollout_record record;
-        std::optional<version_id> settled; ///< the version that the last roll-out brought in
-        time_point seen{};
+        std::optional<version_id> settled; ///< version of the last successful roll-out
+        time_point seen{};                 ///< when the order was written
         time_point step_began{};
-        time_point next_write{};
-        bool is_bad = false;                   ///< this instance found it so
-        std::optional<time_point> verdict_due; ///< when it is written
-        std::uint32_t answers_before_step = 0; ///< of the new version
-        std::uint64_t sent = 0;                ///< requests since the order, by this instance
-        std::uint64_t sent_to_new = 0;         ///< those to the new version
+        time_point next_write{};               ///< earliest time of the next write
+        bool is_bad = false;                   ///< this instance found the target faulty
+        std::optional<time_point> verdict_due; ///< when the roll-back is written
+        std::uint32_t answers_before_step = 0; ///< answers of the new version before the current step
+        std::uint64_t sent = 0;                ///< requests of this instance since the order
+        std::uint64_t sent_to_new = 0;         ///< of these, sent to the new version
         version_trial trial;
-        std::optional<time_point> tell_at;  ///< evidence, to other instances
-        bool is_told_again = false;         ///< datagrams may be lost: what is told last is told twice
-        std::optional<version_id> rejected; ///< by a verdict on an earlier order
+        std::optional<time_point> tell_at; ///< when evidence is sent to peers
+        bool is_told_again =
+            false; ///< the latest evidence was scheduled a second time, as datagrams may be lost
+        std::optional<version_id> rejected; ///< version that an earlier order rolled back
     };
 
     static bool is_running(const rollout& it) { return it.record.state == rollout_state::running; }
-    /// Whether its target was found bad, here or by another instance.
+    /// Whether the target was found faulty, by this instance or a peer.
     static bool is_rejected(const rollout& it)
     {
         return it.is_bad || it.record.state == rollout_state::rolled_back;
     }
+    /// The record to write now, or null if no step is due.
     std::optional<rollout_record> next_record(rollout& it, time_point now);
+    /// When the next step or the verdict is due, without the write delay.
     time_point next_change(const rollout& it) const;
     /// Whether a session that has not run on the new version may do so now.
     bool may_enter(const rollout& it, session_hash session, bool ran_on_old) const;
     rollout& at(const service_id& service);
     rollout* find_running(const service_id& service);
     trial_phase phase_of(const rollout& it) const;
+    /// Rejects the target if the evidence suffices.
     void judge(time_point now, rollout& it);
     void reject(rollout& it, const version_fault& why);
-    /// Whether the next step has to wait. At the end of its time a version that is in doubt is rejected.
+    /// Whether the next step has to wait. Shortly before the deadline a version in doubt is rejected instead.
     bool is_in_doubt(time_point now, rollout& it);
+    /// Whether the version has the full share, but fewer than `least_answers` answers since.
     bool has_too_few_answers(const rollout& it) const;
+    /// Schedules sending evidence to peers, at the latest at `at`.
     void tell_by(rollout& it, time_point at);
-    /// How long after a step is due this instance writes it.
+    /// Delay between the due time of a step and its write by this instance.
     milliseconds delay() const;
-    /// The same of a verdict.
+    /// Delay between a verdict and its write.
     milliseconds verdict_delay() const;
 
     rollout_options options_;
--- a/include/runlink/routing/rollout_schedule.hpp
+++ b/include/runlink/routing/rollout_schedule.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// When the steps of a roll-out are due, and how many requests the new version may get before its verdict.
+/// Schedule of a roll-out's steps, and the limit on requests to a version without a verdict.
 #pragma once
 
 #include <cstdint>
@@ -13,57 +13,61 @@
 /// Parameters of the schedule.
 struct schedule_options
 {
-    /// Share of the requests that the new version gets until the last part of the roll-out.
+    /// Share of the requests that the new version gets until the last part of the roll-out begins.
     std::uint32_t first_share_percent = 8;
-    /// Shares of the last part.
+    /// Shares of the steps in the last part, rising to 100.
     std::vector<std::uint32_t> steps_percent{100};
-    double step_time = 0.02; ///< between the steps of the last part, as a part of the time of the roll-out
-    /// Sessions must not be moved in the first half of a roll-out; the last part begins after this one.
+    double step_time = 0.02; ///< time between the steps of the last part, as a fraction of the roll-out time
+    /// Fraction of the roll-out time before which the last part does not begin. Sessions must not be moved in
+    /// the first half of a roll-out.
     double hold_until = 0.52;
-    /// Before the first share is given. By then all instances have heard of the order and told each other of
+    /// Time before the first share takes effect. By then all instances have received the order and announced
     /// the sessions that ran before it.
     core::milliseconds settle_time{5300};
-    /// A good version is declared this long before the end: for the write, and for a second one by another
-    /// instance if the first is lost.
+    /// Time before the deadline at which a good version is declared. It covers the write, and a second write
+    /// by another instance if the first is lost.
     core::milliseconds reserve{900};
-    double most_reserve = 0.05; ///< as a part of the time of the roll-out
-    /// Between the last step and the declaration, so that work on old endpoints may finish.
+    double most_reserve = 0.05; ///< limit of `reserve` as a fraction of the roll-out time
+    /// Time between the last step and the declaration, in which old endpoints finish their work.
     core::milliseconds least_overlap{500};
-    /// Share of a service's requests that a bad version may get in the whole time of the roll-out. A fault
-    /// that nobody sees is never rolled back, so this holds for every version.
+    /// Share of a service's requests that a faulty version may get over the whole roll-out. It limits every
+    /// version, since an undetected fault is never rolled back.
     double exposure_share = 0.15;
-    /// The part of that share that is planned with; the rest covers traffic that rises towards the end.
+    /// Fraction of `exposure_share` that the schedule uses; the rest covers traffic that rises towards the
+    /// end.
     double planned_part = 0.85;
-    /// Requests above that part that one instance may send, so that the first ones are possible at all.
+    /// Requests above the planned share that one instance may send, without which it could never send the
+    /// first one.
     std::uint32_t exposure_slack = 1;
 };
 
-/// How far a roll-out is.
+/// Progress of a roll-out.
 struct rollout_progress
 {
-    core::time_point seen{}; ///< when the order came
-    core::milliseconds allowed{};
+    core::time_point seen{};      ///< when the order was written
+    core::milliseconds allowed{}; ///< time for the whole roll-out
     core::time_point step_began{};
     std::uint32_t share_percent = 0;
 };
 
-/// Times of the steps, from the end backwards: the new version gets all requests only for as long as the
-/// accepted exposure lasts.
+/// Computes the times of the steps backwards from the deadline. The new version gets all requests only for as
+/// long as the planned exposure permits.
 class rollout_schedule
 {
 public:
     explicit rollout_schedule(schedule_options options) : options_{std::move(options)} {}
 
     const schedule_options& options() const { return options_; }
-    /// When the next step is due; after the last one, when the version is declared good.
+    /// When the next step is due; after the last step, when the version is declared good.
     core::time_point next_step(const rollout_progress& it) const;
-    /// The share after this one, or the same if there is none.
+    /// The share that follows this one, or the same share after the last step.
     std::uint32_t share_after(std::uint32_t percent) const;
+    /// Whether the new version has no more than the first share.
     bool in_first_part(std::uint32_t percent) const { return percent <= options_.first_share_percent; }
     /// Length of the last part, in which the share grows to all requests.
     core::milliseconds last_part(core::milliseconds allowed) const;
-    /// Whether one more request may go to the new version after so many of all requests. Room is left for
-    /// what the version gets between its declaration and the end.
+    /// Whether one more request may go to the new version, given the requests sent to it and in total. Leaves
+    /// room for the requests between the declaration and the deadline.
     bool may_expose(core::milliseconds allowed, std::uint64_t to_new_version, std::uint64_t all) const;
 
 private:
--- a/include/runlink/routing/routing_table.hpp
+++ b/include/runlink/routing/routing_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What operators declare for forwarded requests: routes, services, client accounts and their keys.
+/// Operators' declarations for forwarded requests: routes, services, client accounts and their keys.
 #pragma once
 
 #include <cstdint>
@@ -23,55 +23,56 @@
 using core::model_id;
 using core::service_id;
 
-/// What may be done with a request again.
+/// Whether a request may be repeated, and the form of its answer.
 enum class route_kind
 {
-    safe,      ///< idempotent, a plain answer
-    unsafe,    ///< at most one run
-    streaming, ///< an answer of server-sent events
+    safe,      ///< idempotent, with a plain answer
+    unsafe,    ///< not idempotent: runs at most once
+    streaming, ///< answered with server-sent events
 };
 
-/// A service that gets a part of a route's requests.
+/// A service that gets a share of a route's requests, in proportion to its weight.
 struct weighted_service
 {
     service_id service;
     std::uint32_t weight = 1;
 };
 
-/// Where requests for a host and a path prefix go, and within which bounds.
+/// Destination and limits of the requests for a host and a path prefix.
 struct route
 {
     std::string name;
     std::string host;
     std::string path_prefix;
     route_kind kind = route_kind::unsafe;
-    milliseconds timeout{30000};       ///< longest time that a request is held
-    milliseconds target_latency{1000}; ///< time to the answer, or to its first event, that earns full benefit
-    milliseconds target_gap{1000};     ///< longest pause between two events of a good stream
+    milliseconds timeout{30000}; ///< longest total time of a request
+    milliseconds target_latency{
+        1000}; ///< time to the answer, or its first event, up to which the answer has its full value
+    milliseconds target_gap{1000};     ///< longest acceptable pause between two events of a stream
     int priority = 0;                  ///< 0 is the most urgent
-    std::uint32_t max_attempts = 1;    ///< endpoints that one request may be sent to
-    bool is_public = false;            ///< needs no key
-    bool has_prompts = false;          ///< requests name the parts of their prompts
-    bool resumable = false;            ///< a stream may go on at another endpoint
-    std::vector<model_id> model_sizes; ///< smallest first; empty where the caller names the model
+    std::uint32_t max_attempts = 1;    ///< number of endpoints that a request may be sent to
+    bool is_public = false;            ///< no key is required
+    bool has_prompts = false;          ///< requests list the parts of their prompts
+    bool resumable = false;            ///< an interrupted stream may be resumed at another endpoint
+    std::vector<model_id> model_sizes; ///< smallest first; empty if the caller names the model
     std::vector<weighted_service> services;
     places::allowed_regions regions;
 
     bool is_idempotent() const { return kind == route_kind::safe || resumable; }
 };
 
-/// What a model costs.
+/// Price of a model.
 struct model_price
 {
     model_id model;
-    double per_1k_tokens = 0; ///< of generated tokens; prompt tokens count a quarter
+    double per_1k_tokens = 0; ///< for generated tokens; prompt tokens cost a quarter
 };
 
 /// A group of interchangeable endpoints.
 struct service
 {
     service_id id;
-    std::uint32_t max_connections = 0; ///< of one endpoint, from all instances
+    std::uint32_t max_connections = 0; ///< per endpoint, over all instances
     bool runs_models = false;
     std::vector<model_price> models;
     places::cold_limit cold;
@@ -82,11 +83,11 @@
 {
     account_id id;
     std::vector<std::string> keys;
-    std::optional<int> priority;     ///< goes before the route's
-    places::allowed_regions regions; ///< bind as well as the route's
+    std::optional<int> priority;     ///< overrides the route's priority
+    places::allowed_regions regions; ///< apply in addition to the route's
 };
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 struct caller_limits
 {
     std::uint32_t max_header_bytes = 16 * 1024;
@@ -95,7 +96,7 @@
     milliseconds idle_timeout{15000};
 };
 
-/// One version of the declarations; immutable.
+/// One version of the declarations. Immutable.
 class routing_table
 {
 public:
@@ -106,10 +107,10 @@
     const caller_limits& limits() const { return limits_; }
     std::size_t route_count() const { return routes_.size(); }
     std::size_t account_count() const { return accounts_.size(); }
-    /// Whether requests need a key.
+    /// Whether client accounts are declared, so that requests to routes that are not public need a key.
     bool has_accounts() const { return !accounts_.empty(); }
 
-    /// The route of that host with the longest prefix of the path, or null.
+    /// The route of the host with the longest matching path prefix, or null.
     const route* find_route(std::string_view host, std::string_view path) const;
     /// The account that holds a key, or null.
     const account* find_account(const std::string& key) const;
--- a/include/runlink/routing/session_pins.hpp
+++ b/include/runlink/routing/session_pins.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which version each session ran on last.
+/// The version that each session ran on last.
 #pragma once
 
 #include <map>
@@ -13,17 +13,18 @@
 namespace runlink::routing
 {
 
-/// Remembers the version of a session for a time after its last request.
+/// Keeps the version of each session for a fixed time after its last run.
 class session_pins
 {
 public:
     explicit session_pins(core::milliseconds ttl) : ttl_{ttl} {}
 
+    /// Records a run of a session.
     void ran(core::time_point now, session_hash session, const core::version_id& version);
     std::optional<core::version_id> find(core::time_point now, session_hash session) const;
-    /// The last run of each session that has not rested for too long.
+    /// The last run of each session within the TTL.
     std::vector<session_run> all(core::time_point now) const;
-    /// Forgets sessions that rested for too long.
+    /// Removes sessions whose last run is older than the TTL.
     void expire(core::time_point now);
     std::size_t size() const { return pins_.size(); }
 
--- a/include/runlink/routing/typical_time.hpp
+++ b/include/runlink/routing/typical_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The median of the latest times of one sort.
+/// Median over a sliding window of times.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,8 @@
 namespace runlink::routing
 {
 
-/// Keeps the latest times. Single ones vary with what runs beside them; their median does not.
+/// Keeps the latest times. A single time varies with the concurrent load of the endpoint; the median is
+/// stable.
 class typical_time
 {
 public:
@@ -24,7 +25,7 @@
 
 private:
     std::vector<core::duration> latest_;
-    std::size_t next_ = 0; ///< which is replaced next
+    std::size_t next_ = 0; ///< index of the oldest time, which is replaced next
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/version_trial.hpp
+++ b/include/runlink/routing/version_trial.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What is counted of two versions while one is rolled out, by this instance and by others, and when the new
-/// one is found bad.
+/// Collects the answer counts of the old and the new version during a roll-out, from this instance and its
+/// peers, and decides when the new version is faulty.
 #pragma once
 
 #include <array>
@@ -18,52 +18,55 @@
 namespace runlink::routing
 {
 
-/// How much of the traffic the new version has.
+/// How much of the traffic the new version gets.
 enum class trial_phase
 {
-    first_share,  ///< a small part, beside the old version
-    all_requests, ///< its endpoints are as loaded as the old ones were, and have kept no prompts yet
+    first_share,  ///< a small share, in parallel with the old version
+    all_requests, ///< all traffic; its endpoints carry the full load with empty prompt caches
 };
 
 /// Parameters of a trial.
 struct trial_options
 {
     comparison_options comparison;
-    /// A sound version fails by its endpoints' crashes at most.
+    /// A sound version fails only by crashes of its endpoints.
     flaw_options failed{0.01, 0.003};
-    /// A part of the answers that is several times slower slows all that share an engine with it: 12 % that
-    /// took eight times as long, and 40 % that took four times, made all of a grown deployment 1.8 and 2
-    /// times slower. Of the larger model's first bytes 85 to 90 % came late instead of 25.
+    /// Answers that are several times slower delay all answers that share an inference engine with them: 12 %
+    /// of answers at eight times the usual time, or 40 % at four times, made all answers of a large
+    /// deployment 1.8 or 2 times slower. The share of late first bytes of the larger model rose from 25 % to
+    /// between 85 and 90 %.
     flaw_options late{0.3, 0.1};
     flaw_options slow{0.1, 0.05};
     flaw_options very_slow{0.05, 0.03};
-    /// Above it a version is bad: one comparison in 20,000 is wrong by chance, and a roll-out makes hundreds
-    /// that say nearly the same.
+    /// Evidence above which a version is rejected. One comparison in 20,000 is wrong by chance; a roll-out
+    /// makes hundreds of strongly correlated comparisons.
     double enough = 10;
-    /// The same where all answers came from one endpoint, which may be faulty itself.
+    /// The threshold if all answers came from a single endpoint, which may be faulty itself.
     double enough_alone = 20;
-    /// Fewer answers with a flaw may have one cause outside the version.
+    /// Minimum number of flawed answers. Fewer may have a single cause outside the version.
     std::uint32_t least_flawed = 3;
-    /// Above it a version is not declared good while there is time: one comparison in eight. Waiting costs
-    /// nothing.
+    /// Evidence above which a version is not declared good while there is time left. One comparison in eight
+    /// is above it by chance, which is acceptable as waiting costs nothing.
     double hold = 2;
-    /// Above it a version is taken out when there is no time left: one comparison in 50.
+    /// Evidence above which a version is rejected when no time is left. One comparison in 50 is wrong by
+    /// chance.
     double doubt = 4;
-    /// Lengths of the windows beside all since the order: one for a fault that begins late, one for a fault
-    /// that begins with all requests.
+    /// Lengths of the time windows that are examined in addition to the total since the order: the longer for
+    /// a fault that begins late, the shorter for one that begins with the step to all requests.
     std::array<std::size_t, 2> latest_seconds{5, 2};
-    /// Old answers in the window from which they stand for the old version; with fewer all since the order
-    /// do.
+    /// Minimum number of old answers in a window. With fewer, all old answers since the order are used
+    /// instead.
     std::uint32_t least_old = 50;
-    /// In the last part new endpoints are slower by themselves; only a part as large as this counts there.
+    /// Tolerance for `very_slow` answers once the new version gets all requests, since new endpoints are then
+    /// slow even without a fault.
     double very_slow_under_load = 0.2;
 };
 
-/// Why a version is bad.
+/// Evidence against a version.
 struct version_fault
 {
-    std::string route;    ///< empty: over all routes
-    core::model_id model; ///< empty: over all models
+    std::string route;    ///< empty: all routes
+    core::model_id model; ///< empty: all models
     answer_flaw flaw = answer_flaw::failed;
     std::uint32_t with_flaw = 0;
     std::uint32_t answers = 0;
@@ -71,24 +74,24 @@
 };
 std::string to_string(const version_fault& it);
 
-/// Counts of one roll-out.
+/// Evidence of one roll-out.
 class version_trial
 {
 public:
     explicit version_trial(trial_options options) : options_{options} {}
 
-    /// An answer at this instance, or more that became known of one that is counted already.
+    /// Counts an answer at this instance, or further flaws of an answer that is already counted.
     void count(core::time_point now, const answer_group& group, bool is_new,
                const core::endpoint_id& endpoint, const answer_counts& it);
-    /// What another instance has counted so far; it replaces what that one said before.
+    /// Takes the counts of a peer since the order, which replace its earlier ones.
     void on_peer(core::time_point now, const core::instance_id& peer,
                  const std::vector<version_evidence>& all);
-    /// What this instance has counted so far, without the name of the roll-out.
+    /// The counts of this instance since the order; `service` and `order_revision` are left empty.
     std::vector<version_evidence> own() const;
 
-    /// Why the new version is bad: the fault with the most evidence, if that is enough.
+    /// The fault with the most evidence, if the evidence suffices to reject the new version.
     std::optional<version_fault> fault(core::time_point now, trial_phase phase) const;
-    /// Why it may be bad: the same with the evidence from which it is not declared good.
+    /// The fault with the most evidence, if the evidence suffices not to declare the new version good yet.
     std::optional<version_fault> doubt(core::time_point now, trial_phase phase) const;
     const trial_options& options() const { return options_; }
 
@@ -99,13 +102,13 @@
 private:
     struct side
     {
-        answer_window pooled;
-        answer_counts own;
+        answer_window pooled; ///< counts of this instance and its peers
+        answer_counts own;    ///< counts of this instance
     };
     struct endpoint_sets
     {
-        std::set<endpoint_hash> flawed; ///< an answer had a flaw
-        std::set<endpoint_hash> sound;  ///< an answer had none
+        std::set<endpoint_hash> flawed; ///< with a flawed answer
+        std::set<endpoint_hash> sound;  ///< with a flawless answer
 
         void add(const endpoint_sets& it);
     };
@@ -113,15 +116,16 @@
     {
         side fresh;
         side old;
-        endpoint_sets endpoints;     ///< new ones
-        endpoint_sets own_endpoints; ///< of these, those that this instance saw
+        endpoint_sets endpoints;     ///< endpoints of the new version
+        endpoint_sets own_endpoints; ///< of these, those with answers at this instance
     };
+    /// Counts that a peer reported last.
     struct told
     {
         answer_counts fresh;
         answer_counts old;
     };
-    /// Groups that are compared together.
+    /// A set of groups that is tested as a whole.
     struct view
     {
         std::string route;
@@ -129,19 +133,22 @@
         std::vector<const group*> groups;
     };
 
-    /// All together, by route and by model: a fault of one is not hidden by the others, and what is spread
-    /// over all is found sooner. First bytes of small models vary by more than those of large ones; seen over
-    /// both, half of a version's evidence was lost.
+    /// One view of all groups, one per route and one per model. Separate views keep the fault of one route or
+    /// model from being hidden by the others, and the combined view finds a fault that affects all of them
+    /// sooner. Times to first byte vary more for small models than for large ones; with both in one view,
+    /// half of a version's evidence was lost.
     std::vector<view> views() const;
-    /// In the latest seconds, or, without a number, since the order.
+    /// Counts of the latest `seconds`, or since the order if not given.
     answer_pair pair_of(const group& it, core::time_point now, std::optional<std::size_t> seconds) const;
     flaw_options options_of(answer_flaw flaw, trial_phase phase) const;
+    /// Whether a flaw is tested in a phase.
     static bool counts_in(answer_flaw flaw, trial_phase phase);
+    /// The fault with the most evidence over all views and windows, if it exceeds the required evidence.
     std::optional<version_fault> strongest(core::time_point now, trial_phase phase, double enough,
                                            double enough_alone) const;
     std::optional<version_fault> fault_in(const view& it, core::time_point now, trial_phase phase,
                                           std::optional<std::size_t> seconds) const;
-    /// What evidence it takes, or null where one endpoint of several explains all flaws.
+    /// The evidence required for a view, or null if a single endpoint of several accounts for all flaws.
     static std::optional<double> least_evidence(const view& it, double enough, double enough_alone);
     static std::vector<endpoint_hash> some_of(const std::set<endpoint_hash>& all);
 
