--- a/src/runlink/routing/answer_times.cpp
+++ b/src/runlink/routing/answer_times.cpp
@@ -7,11 +7,12 @@
 namespace
 {
 
-/// Multiples of what was expected from which an answer has the flaw.
+/// Multiples of the expected time above which an answer has the flaw; see `answer_flaw`.
 constexpr double late_from = 1.25;
 constexpr double slow_from = 3;
 constexpr double very_slow_from = 6;
-/// Less is not expected of a first byte: the way and one step of an engine take as long.
+/// Lower limit of the expected time to first byte: the network path and one step of an inference engine take
+/// this long.
 constexpr core::milliseconds least_expected{20};
 
 std::optional<core::duration> median_of(const auto& all, const auto& key)
@@ -20,6 +21,7 @@
     return found == all.end() ? std::nullopt : found->second.median();
 }
 
+/// `value` divided by `reference`; 0 if either is unknown.
 double multiple(core::duration value, std::optional<core::duration> reference)
 {
     if (value.count() <= 0 || !reference || reference->count() <= 0)
@@ -40,7 +42,7 @@
     const auto slowest = std::max(first, pace);
     answer_counts out{1, {}};
     out[answer_flaw::failed] = it.is_bad ? 1 : 0;
-    // Paces vary with the load of an engine by more than the least multiple.
+    // The pace varies with the engine's load by more than `late_from`, so only a slow pace counts as late.
     out[answer_flaw::late] = first > late_from || slowest > slow_from || it.is_stalled ? 1 : 0;
     out[answer_flaw::slow] = slowest > slow_from || it.is_stalled ? 1 : 0;
     out[answer_flaw::very_slow] = slowest > very_slow_from || it.is_stalled ? 1 : 0;
--- a/src/runlink/routing/endpoint_backlog.cpp
+++ b/src/runlink/routing/endpoint_backlog.cpp
@@ -18,7 +18,7 @@
     const auto found = queues_.find(from);
     if (found == queues_.end())
         return;
-    // Answers may overtake each other: own work that is still without one stays.
+    // Answers may arrive out of order, so own work without an answer stays.
     std::erase_if(found->second.entries, [&](const entry& e) { return e.sent_at <= sent_at && !e.is_own; });
     shorten(now, found->second);
 }
@@ -47,7 +47,7 @@
 
 duration endpoint_backlog::near_left(time_point now, const queue& it)
 {
-    // An endpoint that is slower than expected still has what this instance waits for.
+    // An endpoint may be slower than expected: own prompts without an answer still wait there.
     duration own{};
     for (const auto& e : it.entries)
         own += e.is_own ? e.work : duration{};
--- a/src/runlink/routing/endpoint_chooser.cpp
+++ b/src/runlink/routing/endpoint_chooser.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Doublings of an ejection before the longest one holds anyway.
+/// Limit on the doublings of an ejection; `longest_ejection` applies before it is reached.
 constexpr std::uint32_t max_doublings = 6;
 
 } // namespace
--- a/src/runlink/routing/endpoint_directory.cpp
+++ b/src/runlink/routing/endpoint_directory.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// Names without an entry whose latest incarnation is remembered: late news come within seconds of a start.
+/// Number of removed names whose latest incarnation is remembered. Delayed updates of an earlier incarnation
+/// arrive within seconds of a start.
 constexpr std::size_t most_ended_names = 1024;
 
 } // namespace
--- a/src/runlink/routing/placement_test.cpp
+++ b/src/runlink/routing/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where prompts are read: load patterns replayed on a clock that the test advances.
+// Tests of prompt placement: load patterns replayed on a simulated clock.
 
 #include <deque>
 #include <map>
@@ -17,7 +17,7 @@
 constexpr time_point start{core::seconds{1000}};
 const core::model_id small{"small"};
 const core::model_id large{"large"};
-/// Tokens a millisecond that the endpoints of these tests read.
+/// Reading speed of the simulated endpoints, in tokens per millisecond.
 constexpr std::uint32_t small_speed = 100;
 constexpr std::uint32_t large_speed = 10;
 
@@ -48,7 +48,7 @@
     return milliseconds{tokens / (model == large ? large_speed : small_speed)};
 }
 
-/// Instances before endpoints that read one prompt after the other and keep what they read.
+/// Simulated instances, and endpoints that read one prompt after the other and cache what they have read.
 struct fleet
 {
     explicit fleet(int instances, int endpoints, placement_options options = {})
@@ -66,7 +66,7 @@
         }
     }
 
-    /// One answer of an endpoint that does nothing else.
+    /// Teaches an instance the speed of a model with one answer of an idle endpoint.
     void teach(endpoint_chooser& it, const core::model_id& model, std::uint32_t tokens)
     {
         constexpr int first_idle_endpoint = 1000;
@@ -79,10 +79,10 @@
     struct chosen
     {
         endpoint_id endpoint;
-        duration first_byte{}; ///< from the sending
+        duration first_byte{}; ///< time from the dispatch of the prompt
     };
 
-    /// Sends a prompt through an instance; what it tells reaches the others at once.
+    /// Sends a prompt through an instance, whose announcement reaches its peers at once.
     chosen send(time_point now, std::size_t instance, const prompt_need& prompt)
     {
         settle(now);
@@ -107,7 +107,7 @@
         return {to->id, engine.free_at - now};
     }
 
-    /// Lets the instances see the answers that have begun.
+    /// Delivers the answers that have begun to the instances.
     void settle(time_point now)
     {
         for (const auto& it : reads)
@@ -134,7 +134,7 @@
         placed_prompt placed;
     };
     endpoint_directory directory;
-    /// What each has sent, as relays tell it now and then where not all are told of each prompt.
+    /// Exchanges load digests between the instances, each standing for one failure domain.
     void exchange_loads(time_point now)
     {
         std::vector<load_digest> all;
@@ -154,19 +154,19 @@
     }
 
     std::deque<endpoint_chooser> choosers;
-    bool tells_all = true; ///< each of each prompt
+    bool tells_all = true; ///< each prompt is announced to all instances
     std::map<endpoint_id, engine> engines;
     std::vector<read> reads;
-    std::uint64_t again = 0; ///< shared tokens read where the endpoint did not keep them
+    std::uint64_t again = 0; ///< shared tokens read by endpoints without them in their cache
 };
 
 } // namespace
 
-TEST_CASE("the speed of a model is learned from a few answers, long prompts counting most")
+TEST_CASE("the reading speed of a model is learned from a few answers, weighted by prompt length")
 {
     prompt_speed it;
     CHECK(it.time_to_read(large, 1000) == milliseconds{20});
-    it.observe(large, 100, milliseconds{500}); // mostly the first token's own time
+    it.observe(large, 100, milliseconds{500}); // mostly the fixed time to the first token
     CHECK(it.time_to_read(large, 1000) == milliseconds{20});
     it.observe(large, 10'000, milliseconds{1000});
     it.observe(large, 2'000, milliseconds{260});
@@ -177,7 +177,7 @@
     CHECK(it.time_to_read(small, 1000) == milliseconds{20});
 }
 
-TEST_CASE("a process that was frozen does not take its sleep for the speed of a model")
+TEST_CASE("reading times measured while the process was frozen are ignored as outliers")
 {
     prompt_speed it;
     for (int n = 0; n < 5; ++n)
@@ -187,7 +187,7 @@
     CHECK(it.time_to_read(large, 1000) == milliseconds{100});
 }
 
-TEST_CASE("a backlog drains with time, and an answer takes out what was sent before")
+TEST_CASE("a backlog drains with time, and an answer removes the prompts sent before")
 {
     endpoint_backlog it;
     const endpoint_hash e{7};
@@ -203,7 +203,7 @@
     CHECK(it.left(start, endpoint_hash{8}) == milliseconds{0});
 }
 
-TEST_CASE("own work counts until its answer, however slow the endpoint is")
+TEST_CASE("own prompts count as backlog until they are answered, however slow the endpoint is")
 {
     endpoint_backlog it;
     const endpoint_hash e{7};
@@ -216,7 +216,7 @@
     CHECK(it.left(start + milliseconds{10'000}, e) == milliseconds{0});
 }
 
-TEST_CASE("kept parts are forgotten after their time, by model")
+TEST_CASE("cached parts expire per model after their time to live")
 {
     kept_prompts it{{milliseconds{8000}}};
     it.sent(start, endpoint_hash{1}, hash_of(5, small));
@@ -227,10 +227,10 @@
     CHECK(it.size() == 0);
 }
 
-TEST_CASE("short prompts beside long ones: they go where nothing waits, also for what other instances sent")
+TEST_CASE("short prompts go to idle endpoints, also avoiding long prompts that peers have sent")
 {
     fleet it{6, 6};
-    // A long prompt for the largest model at four of six endpoints, each sent by another instance.
+    // Four instances each send a long prompt for the largest model; they use four of the six endpoints.
     std::map<endpoint_id, bool> busy;
     for (std::size_t n = 0; n < 4; ++n)
         busy[it.send(start, n, make_prompt(large, 100 + n, 0, 17'000)).endpoint] = true;
@@ -241,19 +241,19 @@
         const auto now = start + milliseconds{20 * n + 10};
         worst = std::max(worst, it.send(now, n % 6, make_prompt(small, 200 + n, 300, 1'000)).first_byte);
     }
-    // Behind one of the long ones it would be up to 1,700 ms.
+    // Behind a long prompt the wait would be up to 1,700 ms.
     CHECK(worst <= milliseconds{50});
 }
 
-TEST_CASE("a hot prompt is read at its keeper until reading it again elsewhere is worth it")
+TEST_CASE("a frequent prompt stays at the endpoint that has it cached until reading it elsewhere is faster")
 {
     fleet it{6, 8};
     std::map<endpoint_id, int> used;
-    // Five a second, 75 ms each where it is kept: one endpoint carries that.
+    // Five per second at 75 ms each with a cached prompt: one endpoint suffices.
     for (std::uint64_t n = 0; n < 50; ++n)
         ++used[it.send(start + milliseconds{200 * n}, n % 6, make_prompt(large, 1, 13'000, 750)).endpoint];
     CHECK(used.size() == 1);
-    // Forty a second for eight seconds: three times what one endpoint reads.
+    // Forty per second for eight seconds: three times the capacity of one endpoint.
     duration worst{};
     for (std::uint64_t n = 0; n < 320; ++n)
     {
@@ -267,7 +267,7 @@
     CHECK(worst <= milliseconds{4'500});
 }
 
-TEST_CASE("an answer at another instance tells that the endpoint is sooner done than expected")
+TEST_CASE("an answer reported by a peer shortens the expected wait at the endpoint")
 {
     fleet it{2, 1};
     it.send(start, 0, make_prompt(large, 1, 0, 30'000));
@@ -277,12 +277,12 @@
     const auto wait = [&](int ms)
     { return other.expect(start + milliseconds{ms}, make_endpoint(0), make_prompt(small, 3, 0, 100)).wait; };
     CHECK(wait(500) == milliseconds{3500});
-    other.on_peer_answered(start + milliseconds{501}, {e, milliseconds{501}}); // to the first of them
+    other.on_peer_answered(start + milliseconds{501}, {e, milliseconds{501}}); // answer to the first prompt
     CHECK(wait(501) == milliseconds{1000});
     CHECK(wait(1000) == milliseconds{501});
 }
 
-TEST_CASE("instances that have not heard of each other's choice rank endpoints for a cold prompt alike")
+TEST_CASE("instances choose the same endpoint for an uncached prompt without communication")
 {
     fleet it{6, 8};
     std::map<endpoint_id, int> used;
@@ -294,7 +294,7 @@
     CHECK(used.size() == 1);
 }
 
-TEST_CASE("a request stays in its own failure domain until the wait there is worth the way")
+TEST_CASE("a request stays in its own failure domain until the wait there costs more than the transfer")
 {
     endpoint_directory directory;
     directory.put(make_endpoint(1, "n"));
@@ -311,7 +311,7 @@
     CHECK(it.choose(start, directory, need)->id.str() == "e2");
 }
 
-TEST_CASE("what waits longer than a request's deadline is refused at once, with times that differ")
+TEST_CASE("a request whose wait exceeds its deadline is refused at once, with a varying retry time")
 {
     const admission it;
     CHECK_FALSE(it.refuse_for({}, milliseconds{20}, 1));
@@ -326,7 +326,7 @@
     CHECK(it.retry_after(core::seconds{60}, 0) == milliseconds{5000});
 }
 
-TEST_CASE("wrong reports of one instance cost little: they drain, and own answers take them out")
+TEST_CASE("a wrong announcement of a peer is limited in time and corrected by own answers")
 {
     endpoint_directory directory;
     directory.put(make_endpoint(1));
@@ -341,9 +341,9 @@
     CHECK(it.placement().expect(start + milliseconds{30}, make_endpoint(1), prompt).wait == duration{});
 }
 
-TEST_CASE("short prompts keep away from the long ones of other failure domains by their digests")
+TEST_CASE("with load digests, short prompts avoid endpoints busy with prompts of other failure domains")
 {
-    // Each chooser stands for the instances of a failure domain, which tell each other of each prompt.
+    // Each chooser stands for all instances of a failure domain, which announce each prompt to each other.
     const auto run = [](bool with_digests)
     {
         fleet it{5, 12};
@@ -353,7 +353,7 @@
         for (int n = 0; n < 400; ++n)
         {
             const auto now = start + core::seconds{10} + milliseconds{20 * n};
-            if (with_digests && n % 6 == 0) // about each 120 ms
+            if (with_digests && n % 6 == 0) // every 120 ms
                 it.exchange_loads(now);
             const auto instance = static_cast<std::size_t>(n % 5);
             if (n % 3 == 0)
@@ -368,7 +368,7 @@
     CHECK(told * 2 < blind);
 }
 
-TEST_CASE("digests of several failure domains add up, and what they tell passes")
+TEST_CASE("digests of several failure domains add up and decrease with time")
 {
     const endpoint_hash a{1};
     const endpoint_hash b{2};
@@ -376,7 +376,7 @@
     it.on_digest(start, {core::failure_domain_id{"n"}, {{a, milliseconds{300}}, {b, milliseconds{90}}}});
     it.on_digest(start, {core::failure_domain_id{"s"}, {{a, milliseconds{200}}}});
     const auto both = it.merged(start + milliseconds{100});
-    REQUIRE(both.loads.size() == 1); // the rest is over, or nearly
+    REQUIRE(both.loads.size() == 1); // the load of `b` has passed
     CHECK(both.loads[0].left == milliseconds{300});
     it.on_digest(start + milliseconds{100}, {core::failure_domain_id{"n"}, {}});
     CHECK(it.merged(start + milliseconds{100}).loads.at(0).left == milliseconds{100});
@@ -386,7 +386,7 @@
     CHECK(backlog.left(start, a) == milliseconds{350});
     CHECK(backlog.left(start + milliseconds{320}, a) == duration{});
     CHECK(backlog.near_loads(start, milliseconds{30}).at(0).left ==
-          milliseconds{50}); // never those of others
+          milliseconds{50}); // excludes remote loads
     backlog.told_far(start, {});
     CHECK(backlog.left(start, a) == milliseconds{50});
 }
--- a/src/runlink/routing/prompt_placement.cpp
+++ b/src/runlink/routing/prompt_placement.cpp
@@ -10,11 +10,12 @@
 {
 
 constexpr std::int64_t bytes_per_kb = 1000;
-/// The speed is learned from prompts for which this part of the reading, or this time, was expected to wait
-/// before them: the rest of the time is their own.
+/// The reading speed is sampled only from prompts whose expected wait was below `little_wait`, or whose
+/// expected reading time was more than this multiple of the wait. The time after the wait is then due to the
+/// prompt itself.
 constexpr int least_work_over_wait = 2;
 constexpr milliseconds little_wait{15};
-/// An answer that comes sooner than expected still took this long to read.
+/// Lower limit of a sampled reading time, for answers that begin before the expected wait is over.
 constexpr milliseconds least_reading{1};
 
 duration part_of(duration it, double share)
--- a/src/runlink/routing/prompt_speed.cpp
+++ b/src/runlink/routing/prompt_speed.cpp
@@ -10,7 +10,8 @@
 {
 
 constexpr std::int64_t tokens_per_unit = 1000;
-/// Samples above this multiple of the median were held up by something else, as by a frozen process.
+/// Samples above this multiple of the median rate are ignored: they were delayed by something else, such as a
+/// frozen process.
 constexpr int most_over_median = 4;
 
 } // namespace
--- a/src/runlink/routing/rollout_control.cpp
+++ b/src/runlink/routing/rollout_control.cpp
@@ -57,8 +57,8 @@
                                   it.order.target == order.target && it.order.allowed == order.allowed;
     if (is_written_again)
     {
-        // What was counted and found holds: with three such writes a version of which a fifth failed would be
-        // judged anew each time.
+        // Counts and verdict are kept. Otherwise each rewrite of the order would restart the evaluation, and
+        // three rewrites could let a version pass that fails a fifth of its requests.
         it.order.revision = order.revision;
         return false;
     }
@@ -67,8 +67,8 @@
     auto rejected = is_rejected(it) ? std::optional{it.record.target} : std::move(it.rejected);
     it = rollout{options_.trial};
     it.settled = std::move(settled);
-    // Its endpoints may still be listed, and with no version that is known to be good all but the target are
-    // old.
+    // Endpoints of the rejected version may still be listed, and without a known good version every version
+    // but the target counts as old.
     if (rejected != order.target)
         it.rejected = std::move(rejected);
     it.order = order;
@@ -78,7 +78,8 @@
     it.record.service = order.service;
     it.record.target = order.target;
     it.record.revision = record.revision;
-    // A record that is younger than the order belongs to it: this process has started since.
+    // A record that is newer than the order belongs to it: this process has started since the order was
+    // written.
     if (record.revision > order.revision && record.target == order.target)
         it.record = record;
     if (it.record.state == rollout_state::succeeded)
@@ -95,7 +96,7 @@
     const auto record = it.record;
     auto rejected = is_rejected(it) ? std::optional{record.target} : it.rejected;
     found->second = rollout{options_.trial};
-    // Its endpoints stay for some seconds, or for as long as the operator leaves them.
+    // Endpoints of the rejected version remain for some seconds, or until the operator stops them.
     found->second.record = record;
     found->second.rejected = std::move(rejected);
 }
@@ -130,7 +131,7 @@
     if (found == rollouts_.end())
         return;
     auto& it = found->second;
-    // The next write depends on there being none. What was found, and an end, hold.
+    // The next write is conditional on the record's absence. A verdict and a final state are kept.
     it.record.revision = 0;
     if (!is_running(it))
         return;
@@ -186,13 +187,13 @@
     const auto old_version = [&]
     {
         out.excluded = target;
-        out.only = it.settled; // entries of versions before that one may not have lapsed yet
+        out.only = it.settled; // entries of older versions may still be listed
         out.avoided = it.rejected;
         return out;
     };
     if (it.record.state == rollout_state::succeeded)
     {
-        out.only = target; // also where this instance found it bad: the old endpoints have been stopped
+        out.only = target; // even if this instance found it faulty, since the old endpoints have been stopped
         return out;
     }
     if (is_rejected(it))
--- a/src/runlink/routing/rollout_evidence.cpp
+++ b/src/runlink/routing/rollout_evidence.cpp
@@ -1,4 +1,5 @@
-// What is counted of versions that are rolled out, by this instance and by others, and what follows from it.
+// Part of `rollout_control`: collects evidence about versions from this instance and its peers, and judges
+// it.
 
 #include <algorithm>
 #include <utility>
@@ -80,7 +81,7 @@
            it.trial.fresh().all - it.answers_before_step < options_.least_answers;
 }
 
-// What instances tell each other
+// Exchange of evidence between instances
 
 void rollout_control::tell_by(rollout& it, time_point at)
 {
--- a/src/runlink/routing/rollout_schedule.cpp
+++ b/src/runlink/routing/rollout_schedule.cpp
@@ -34,7 +34,8 @@
 
 core::milliseconds rollout_schedule::last_part(core::milliseconds allowed) const
 {
-    // With a steady rate the exposure is first * (1 - settled - last) + last, in parts of the whole time.
+    // At a steady request rate the exposure is first * (1 - settled - last) + last, as fractions of the
+    // roll-out time. Solved for last.
     const auto first = options_.first_share_percent / whole_percent;
     const auto settled = part_in(settle(allowed), allowed);
     const auto last = first < 1 ? (planned_share() - first * (1 - settled)) / (1 - first) : 0;
--- a/src/runlink/routing/rollout_test.cpp
+++ b/src/runlink/routing/rollout_test.cpp
@@ -1,4 +1,4 @@
-// Steps of roll-outs, evidence on versions, and how much a version may get before its verdict.
+// Tests of the roll-out steps, the evidence against versions, and the exposure before a verdict.
 
 #include <functional>
 #include <optional>
@@ -34,7 +34,7 @@
     to.on_sample(now, it, counted);
 }
 
-/// Evidence of one instance, from two endpoints.
+/// Evidence of one instance with flawed answers of two endpoints.
 std::vector<version_evidence> make_evidence(std::uint32_t all, std::uint32_t failed,
                                             std::uint64_t order_revision)
 {
@@ -54,13 +54,13 @@
     return out;
 }
 
-/// Instances that follow one record, as requests come and go without any fault to be seen.
+/// Result of a simulated roll-out without a detectable fault, with instances that share one record.
 struct rollout_run
 {
-    std::uint64_t all = 0;     ///< between the order and its end
-    std::uint64_t exposed = 0; ///< of these, on the new version
-    bool is_done = false;      ///< declared good before its end
-    bool jumped_early = false; ///< all requests on the new version in the first half
+    std::uint64_t all = 0;     ///< requests between the order and its deadline
+    std::uint64_t exposed = 0; ///< of these, requests to the new version
+    bool is_done = false;      ///< declared good before the deadline
+    bool jumped_early = false; ///< full share in the first half
 };
 
 rollout_run run_rollout(milliseconds allowed, const std::function<int(milliseconds)>& requests_in_100_ms)
@@ -106,7 +106,7 @@
 
 } // namespace
 
-TEST_CASE("failures at one endpoint do not make a version bad, failures at two do")
+TEST_CASE("a version is rejected for failures at two endpoints, not for failures at one")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -119,7 +119,7 @@
     CHECK(it.choose(order.service, session_hash{0}, std::nullopt).excluded == order.target);
 }
 
-TEST_CASE("a version that all find bad at once is written back by those that follow the store")
+TEST_CASE("a roll-back that all instances decide at once is written by those that follow the store")
 {
     constexpr int instances = 295;
     constexpr int relays = 5;
@@ -144,14 +144,14 @@
     std::size_t later = 0;
     for (milliseconds t{10}; t < milliseconds{600}; t += milliseconds{10})
         later += writes_at(t);
-    CHECK(later == 0); // news of the write is with all of them by then
-    // Where no relay reaches the store, one of the others does it.
+    CHECK(later == 0); // by then all instances know of the write
+    // If no relay reaches the store, another instance writes.
     for (milliseconds t{600}; t < milliseconds{1300}; t += milliseconds{10})
         later += writes_at(t);
     CHECK(later > 0);
 }
 
-TEST_CASE("evidence of peers is pooled, each peer's newest word only")
+TEST_CASE("evidence of peers is pooled, with only the latest report of each peer")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -161,12 +161,12 @@
     it.on_peer_evidence(start, core::instance_id{"b"}, e);
     CHECK(verdict.empty());
     it.on_peer_evidence(start, core::instance_id{"c"}, make_evidence(5, 3, order.revision + 1));
-    CHECK(verdict.empty()); // of another order
+    CHECK(verdict.empty()); // the evidence belongs to another order
     it.on_peer_evidence(start, core::instance_id{"c"}, e);
     CHECK_FALSE(verdict.empty());
 }
 
-TEST_CASE("a version that is several times slower than the old one is bad")
+TEST_CASE("a version that is several times slower than the old one is found faulty")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -186,7 +186,7 @@
     CHECK_FALSE(verdict.empty());
 }
 
-TEST_CASE("one instance writes a step; the others, whose turn is later, follow its record")
+TEST_CASE("one instance writes a step; the others have longer write delays and follow its record")
 {
     rollout_control first{{}, 0};
     rollout_control second{{}, 300};
@@ -203,7 +203,7 @@
     CHECK(second.choose(order.service, session_hash{0}, std::nullopt).only == order.target);
 }
 
-TEST_CASE("a process that starts in the middle takes the record that is younger than the order")
+TEST_CASE("a process that starts during a roll-out takes over a record that is newer than the order")
 {
     rollout_control it{{}, 0};
     it.on_record(start, {order.service, order.target, rollout_state::running, 100, 9});
@@ -215,7 +215,7 @@
     CHECK(older.due(start + schedule_options{}.settle_time).size() == 1);
 }
 
-TEST_CASE("a roll-out begins with its first order, not with one that is written again")
+TEST_CASE("a roll-out begins with its first order, not with an unchanged rewrite of it")
 {
     rollout_control it{{}, 0};
     CHECK(it.on_order(start, order));
@@ -228,8 +228,8 @@
     CHECK(it.on_order(start, again));
 }
 
-// Endpoints of the rejected version are still listed then.
-TEST_CASE("a version that was rolled back gets nothing when the next roll-out is ordered")
+// The rejected version's endpoints are still listed at that time.
+TEST_CASE("a version that was rolled back gets no requests when the next roll-out is ordered")
 {
     const rollout_record rejected{order.service, order.target, rollout_state::rolled_back, 0, 6};
     const rollout_order next{order.service, core::version_id{"v3"}, milliseconds{24000}, 7};
@@ -254,7 +254,7 @@
     started_since.on_order(start, next);
     started_since.on_record(start, rejected);
     check(started_since);
-    // Ordered once more, it is judged anew.
+    // A new order for the rejected version evaluates it from the start.
     rollout_control again{{}, 0};
     again.on_order(start, order);
     again.on_record(start, rejected);
@@ -262,7 +262,7 @@
     CHECK_FALSE(again.choose(order.service, session_hash{0}, std::nullopt).avoided);
 }
 
-TEST_CASE("after a roll-out succeeded, the next one keeps its version as the old one")
+TEST_CASE("the target of a successful roll-out is the old version of the next one")
 {
     rollout_control it{{}, 0};
     it.on_order(start, order);
@@ -274,7 +274,7 @@
     CHECK(choice.excluded == next.target);
 }
 
-TEST_CASE("a version of which a part of the answers is slow is bad")
+TEST_CASE("a version with a large share of slow answers is found faulty")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -285,7 +285,7 @@
         old.first = milliseconds{80};
         give(it, old);
     }
-    for (int n = 0; n < 150 && verdict.empty(); ++n) // before its fiftieth slow answer
+    for (int n = 0; n < 150 && verdict.empty(); ++n) // at most 50 slow answers
     {
         auto fresh = make_sample("v2", n % 4 < 2 ? "e2" : "e3", false);
         fresh.first = milliseconds{n % 3 == 0 ? 900 : 90};
@@ -294,7 +294,7 @@
     CHECK_FALSE(verdict.empty());
 }
 
-TEST_CASE("a few slow answers do not make a version slow")
+TEST_CASE("a few slow answers are not enough to reject a version")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -311,7 +311,7 @@
     CHECK(verdict.empty());
 }
 
-TEST_CASE("a version whose fault nobody sees gets no more than the accepted exposure, and is done in time")
+TEST_CASE("a version with an undetected fault stays within the accepted exposure and completes in time")
 {
     const auto accepted = [](const rollout_run& it) { return 0.15 * static_cast<double>(it.all) + 30; };
     const auto allowed =
@@ -320,13 +320,13 @@
     CHECK(static_cast<double>(steady.exposed) <= accepted(steady));
     CHECK(steady.is_done);
     CHECK_FALSE(steady.jumped_early);
-    // Traffic that doubles towards the end.
+    // The request rate doubles towards the end.
     const auto rising = run_rollout(allowed, [&](milliseconds t) { return t > allowed * 4 / 5 ? 22 : 11; });
     CHECK(static_cast<double>(rising.exposed) <= accepted(rising));
     CHECK(rising.is_done);
 }
 
-TEST_CASE("a version is slow where every sixth answer is, as half of an eightfold slowness shows")
+TEST_CASE("a version with every sixth answer slow is rejected, as when half of the slow answers are detected")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -337,7 +337,7 @@
         old.first = milliseconds{80};
         give(it, old);
     }
-    for (int n = 0; n < 300; ++n) // before its fiftieth slow answer
+    for (int n = 0; n < 300; ++n) // at most 50 slow answers
     {
         auto fresh = make_sample("v2", n % 4 < 2 ? "e2" : "e3", false);
         fresh.first = milliseconds{n % 6 == 5 ? 700 : 90};
@@ -346,7 +346,7 @@
     CHECK_FALSE(verdict.empty());
 }
 
-TEST_CASE("an order that is written again unchanged changes nothing")
+TEST_CASE("an unchanged rewrite of an order keeps the verdict")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -360,7 +360,7 @@
     CHECK(it.due(start + milliseconds{1500}).at(0).state == rollout_state::rolled_back);
 }
 
-TEST_CASE("evidence is told at its own times, and once more, as datagrams may be lost")
+TEST_CASE("evidence is sent after a delay and repeated once, as datagrams may be lost")
 {
     rollout_control it{{}, 0};
     it.on_order(start, order);
@@ -378,7 +378,7 @@
     CHECK_FALSE(it.evidence_due());
 }
 
-TEST_CASE("a record that is gone is written anew, under the condition that there is none")
+TEST_CASE("a deleted record is written again, conditional on its absence")
 {
     rollout_control it{{}, 0};
     it.on_order(start, order);
@@ -391,25 +391,25 @@
     CHECK(writes[0].revision == 0);
 }
 
-TEST_CASE("a version that was taken out is avoided while its endpoints outlive the order")
+TEST_CASE("a rolled-back version is avoided after the order is removed, while its endpoints are listed")
 {
     rollout_control it{{}, 0};
     it.on_order(start, order);
     it.on_record(start, {order.service, order.target, rollout_state::rolled_back, 0, 9});
     it.on_order_removed(order.service);
     CHECK(it.choose(order.service, session_hash{0}, std::nullopt).avoided == order.target);
-    rollout_control later{{}, 0}; // a process that starts now
+    rollout_control later{{}, 0}; // a process that starts after the order was removed
     later.on_record(start, {order.service, order.target, rollout_state::rolled_back, 0, 9});
     CHECK(later.choose(order.service, session_hash{0}, std::nullopt).avoided == order.target);
 }
 
-TEST_CASE("a version in doubt is not declared good, and is taken out at the end")
+TEST_CASE("a version in doubt is not declared good, and is rejected shortly before the deadline")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
     it.on_order(start, order);
     it.on_record(start, {order.service, order.target, rollout_state::running, 8, 9});
-    // More failures than a sound version has, not enough for a verdict.
+    // More failures than a sound version has, but not enough for a verdict.
     it.on_peer_evidence(start, core::instance_id{"b"}, make_evidence(5, 3, order.revision));
     REQUIRE(verdict.empty());
     for (milliseconds t{0}; t < order.allowed - milliseconds{400}; t += milliseconds{50})
@@ -423,8 +423,7 @@
     CHECK_FALSE(verdict.empty());
 }
 
-TEST_CASE(
-    "a version with a few failures in its last second is waited with, and declared good if there are no more")
+TEST_CASE("a version with a few late failures is held back, and declared good if no more follow")
 {
     std::string verdict;
     auto it = make_rollout(&verdict);
@@ -448,7 +447,7 @@
     CHECK(writes[0].state == rollout_state::succeeded);
 }
 
-TEST_CASE("a version is declared good on answers to all requests, and without them only at the end")
+TEST_CASE("a version is declared good after enough answers at the full share, else only near the deadline")
 {
     const auto end = start + order.allowed - milliseconds{300};
     const auto answers = GENERATE(2, 60);
@@ -465,7 +464,7 @@
     CHECK((*declared >= end) == (answers == 2));
 }
 
-TEST_CASE("a version that is declared good is used, also where it was found bad: there is no other any more")
+TEST_CASE("a version that is declared good is used even by an instance that found it faulty")
 {
     rollout_control it{{}, 0};
     it.on_order(start, order);
@@ -476,7 +475,7 @@
     CHECK_FALSE(choice.excluded);
 }
 
-TEST_CASE("an order and a record that went while the store's history was gone are missed in the next list")
+TEST_CASE("orders and records missing from a complete list are removed")
 {
     rollout_control it{{}, 0};
     it.on_order(start, order);
--- a/src/runlink/routing/routing_test.cpp
+++ b/src/runlink/routing/routing_test.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of a host wins; case and port of the host do not count")
+TEST_CASE("the longest path prefix of a host matches; case and port of the host are ignored")
 {
     const auto table = make_table();
     REQUIRE(table.find_route("a.example", "/x/y/z") != nullptr);
@@ -57,7 +57,7 @@
     CHECK(table.find_account("k3") == nullptr);
 }
 
-TEST_CASE("a leaving mark is never taken back")
+TEST_CASE("an endpoint that was listed as leaving never gets new work again")
 {
     endpoint_directory it;
     auto entry = make_endpoint("e1");
@@ -69,7 +69,7 @@
     CHECK_FALSE(it.may_get_work(start, entry.id));
 }
 
-TEST_CASE("an endpoint's own word that it leaves outlasts its entry, lists and outages, not its life")
+TEST_CASE("a leaving mark survives entry updates, lists and outages, but not a new incarnation")
 {
     endpoint_directory it;
     const service_id pool{"pool"};
@@ -83,7 +83,8 @@
     CHECK(it.mark_leaving(start, entry.id));
     CHECK_FALSE(it.mark_leaving(start, entry.id));
     CHECK(it.usable(start, pool).empty());
-    CHECK(it.put(entry) == endpoint_directory::change::none); // it still says ready
+    CHECK(it.put(entry) ==
+          endpoint_directory::change::none); // the entry still says that the endpoint is ready
     it.replace(start, {entry});
     CHECK(it.usable(start, pool).empty());
     it.remove(start, entry.name);
@@ -92,7 +93,7 @@
     it.store_returned(start);
     CHECK(it.put(entry) == endpoint_directory::change::leaving);
     CHECK(it.usable(start, pool).empty());
-    // Before the store lists it.
+    // A mark may arrive before the store lists the endpoint.
     CHECK(it.mark_leaving(start, core::endpoint_id{"e2"}));
     auto later_life = entry;
     later_life.incarnation = core::endpoint_incarnation{2};
@@ -107,7 +108,7 @@
     CHECK(it.leaving_marks().empty());
 }
 
-TEST_CASE("news are told at once and a few times more, unless another instance tells them")
+TEST_CASE("an announcement is sent at once and repeated unless a peer announces it")
 {
     repeated_news<endpoint_id> it{{3, milliseconds{500}}};
     const time_point start{core::seconds{100}};
@@ -122,7 +123,7 @@
     CHECK_FALSE(it.next_due());
 }
 
-TEST_CASE("an endpoint that leaves by its own word is a last resort for a while, by its entry it is none")
+TEST_CASE("an endpoint is a last resort for a while after its own announcement, not if listed as leaving")
 {
     directory_options options;
     options.last_resort = milliseconds{1000};
@@ -143,7 +144,7 @@
     CHECK(it.last_resorts(start, pool).empty());
 }
 
-TEST_CASE("a whole list removes what it lacks")
+TEST_CASE("a complete list removes endpoints that it does not contain")
 {
     endpoint_directory it;
     it.put(make_endpoint("e1"));
@@ -152,7 +153,7 @@
     CHECK(it.usable(start, core::service_id{"s"}).size() == 1);
 }
 
-TEST_CASE("an entry that vanishes in the shadow of an outage is used for its grace only")
+TEST_CASE("an entry that vanishes shortly after an outage is used for a grace period only")
 {
     endpoint_directory it;
     it.put(make_endpoint("e1"));
@@ -187,7 +188,7 @@
     CHECK(repeats.size() > 90);
 }
 
-TEST_CASE("a session's pin lasts for its time after the last run")
+TEST_CASE("a session's pin expires after its time to live since the last run")
 {
     session_pins it{milliseconds{5000}};
     it.ran(start, session_hash{1}, core::version_id{"v1"});
@@ -197,7 +198,7 @@
     CHECK(it.size() == 0);
 }
 
-TEST_CASE("an endpoint that cannot be reached is put aside, and used again if there is no other")
+TEST_CASE("an unreachable endpoint is avoided unless there is no other")
 {
     endpoint_directory directory;
     directory.put(make_endpoint("e1"));
@@ -212,7 +213,7 @@
     CHECK(it.choose(start, directory, need) != nullptr);
 }
 
-TEST_CASE("the own failure domain is nearer, until it has more to do")
+TEST_CASE("the own failure domain is preferred until it has more requests in flight")
 {
     endpoint_directory directory;
     directory.put(make_endpoint("near", "v1", "n"));
@@ -227,7 +228,7 @@
     CHECK(it.choose(start, directory, need)->id.str() == "far");
 }
 
-TEST_CASE("an excluded version gets nothing, a preferred one all there is")
+TEST_CASE("an excluded version gets no requests, a preferred one gets all if it has endpoints")
 {
     endpoint_directory directory;
     directory.put(make_endpoint("o", "v1"));
@@ -246,7 +247,8 @@
     CHECK(it.choose(start, directory, need) == nullptr);
 }
 
-TEST_CASE("a smaller model's answer is kept when it is sure, cannot be repeated, or is the largest's")
+TEST_CASE(
+    "an answer is accepted if its confidence is high, no retry is possible, or the model is the largest")
 {
     const cascade_policy it;
     cascade_input in;
@@ -263,7 +265,7 @@
     CHECK(it.accepts(in));
 }
 
-TEST_CASE("at a burst fewer answers are escalated: the threshold falls with the wait for the largest model")
+TEST_CASE("the confidence threshold falls with the wait for the largest model")
 {
     const cascade_options options;
     const cascade_policy it{options};
@@ -279,12 +281,12 @@
         CHECK(it.threshold(in) < before);
         before = it.threshold(in);
     }
-    in.larger_wait = milliseconds{3000}; // the answer would be late
+    in.larger_wait = milliseconds{3000}; // the larger model would miss the target latency
     CHECK(it.threshold(in) == options.accept_confidence_late);
     in.larger_wait = {};
-    in.elapsed = milliseconds{3500}; // late even without a wait
+    in.elapsed = milliseconds{3500}; // would miss the target latency even without a wait
     CHECK(it.threshold(in) == options.accept_confidence_late);
-    // What is almost certainly wrong is asked again all the same.
+    // An answer with very low confidence is still escalated.
     in.confidence = options.accept_confidence_late - 1;
     CHECK_FALSE(it.accepts(in));
 }
--- a/src/runlink/routing/version_comparison.cpp
+++ b/src/runlink/routing/version_comparison.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Divergence of a share from one that is lower, per answer.
+/// Kullback-Leibler divergence of a share from a lower one, per answer.
 double divergence(double share, double from)
 {
     const double hits = share > 0 ? share * std::log(share / from) : 0;
@@ -16,7 +16,7 @@
     return hits + rest;
 }
 
-/// A share that was seen in the old version's answers, and its variance.
+/// Estimated share of a flaw in the old version's answers, and the variance of the estimate.
 struct old_share
 {
     double mean = 0;
@@ -51,7 +51,7 @@
     }
     if (answers == 0)
         return 0;
-    constexpr double highest = 0.999; // a logarithm follows
+    constexpr double highest = 0.999; // keeps the logarithm in `divergence` finite
     const auto allowed =
         expected / answers + options.old_errors * std::sqrt(variance) / answers + of.tolerance;
     const auto share = hits / answers;
--- a/src/runlink/routing/version_trial.cpp
+++ b/src/runlink/routing/version_trial.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// Endpoints named in a message: two tell that it is not one alone, some more that not two are.
+/// Number of endpoints listed in a message. Two show that a fault is not limited to one endpoint, some more
+/// that it is not limited to two.
 constexpr std::size_t most_told_endpoints = 6;
 
 bool has_flaw(const answer_counts& it)
--- a/src/runlink/routing/version_trial_test.cpp
+++ b/src/runlink/routing/version_trial_test.cpp
@@ -1,4 +1,4 @@
-// Judging a new version by its answers beside those of the old one.
+// Tests of the comparison between the answers of a new and an old version.
 
 #include <random>
 
@@ -22,7 +22,8 @@
     return out;
 }
 
-/// Answers of both versions, a second of them every second, until the new one is found bad.
+/// Result of a simulated trial, which adds answers of both versions every second until the new version is
+/// found faulty.
 struct trial_run
 {
     int failures = 0;
@@ -31,12 +32,12 @@
 
 struct trial_case
 {
-    double fresh = 0; ///< share of failures
-    double old = 0;
+    double fresh = 0; ///< failure rate of the new version
+    double old = 0;   ///< failure rate of the old version
     int fresh_per_s = 24;
     int old_per_s = 276;
     int seconds = 16;
-    int good_seconds = 0; ///< before the failures begin
+    int good_seconds = 0; ///< seconds before the new version's failures begin
 };
 
 trial_run run_trial(const trial_case& of, std::uint64_t seed)
@@ -65,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("a bad version is found before its fiftieth bad answer")
+TEST_CASE("a faulty version is detected before its fiftieth failed answer")
 {
     const auto of = GENERATE(trial_case{0.5, 0}, trial_case{0.15, 0}, trial_case{0.1, 0},
                              trial_case{0.15, 0, 24, 276, 16, 9}, trial_case{0.5, 0, 24, 276, 16, 13},
@@ -79,7 +80,7 @@
     }
 }
 
-TEST_CASE("a version that fails as the old one does is not found bad")
+TEST_CASE("a version with the failure rate of the old one is not found faulty")
 {
     const auto share = GENERATE(0.0, 0.01, 0.1, 0.3);
     int found = 0;
@@ -89,7 +90,8 @@
     CHECK(found <= 1);
 }
 
-TEST_CASE("flaws of one endpoint of several do not make a version bad, those of the only one do")
+TEST_CASE(
+    "flaws of one endpoint among several are not held against a version, those of its only endpoint are")
 {
     version_trial it{{}};
     it.count(start, {"r", {}}, true, core::endpoint_id{"sound"}, one(false));
@@ -102,7 +104,7 @@
     CHECK(alone.fault(start, trial_phase::first_share));
 }
 
-TEST_CASE("a route on which answers fail is not hidden by the others")
+TEST_CASE("a failing route is not hidden by sound answers on other routes")
 {
     version_trial it{{}};
     for (int n = 0; n < 2000; ++n)
@@ -119,7 +121,7 @@
     CHECK(why->answers == 40);
 }
 
-TEST_CASE("what a peer says replaces what it said before, and counts that fall are those of a new process")
+TEST_CASE("a peer's report replaces its earlier one, and lower counts are those of a restarted process")
 {
     version_trial it{{}};
     const core::instance_id peer{"p"};
@@ -134,7 +136,7 @@
     CHECK(it.fresh().all == 9);
 }
 
-TEST_CASE("the latest seconds are told apart from all")
+TEST_CASE("the latest seconds are counted separately from the total")
 {
     answer_window it;
     it.add(start, {10, {}});
@@ -145,18 +147,18 @@
     CHECK(it.latest(start + core::seconds{60}, 5).all == 0);
 }
 
-TEST_CASE("an answer is slow by what was expected of it, or by what is typical on its route")
+TEST_CASE("an answer is slow compared with its expected time, or the typical time of its route")
 {
     answer_times it;
     version_sample sample;
     sample.group.route = "r";
     sample.first = core::milliseconds{350};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 0, 0, 0}}); // nothing to compare it with
+    CHECK(it.judge(sample) == answer_counts{1, {0, 0, 0, 0}}); // no reference time yet
     sample.expected = core::milliseconds{100};
     CHECK(it.judge(sample) == answer_counts{1, {0, 1, 1, 0}});
     sample.expected = core::milliseconds{50};
     CHECK(it.judge(sample) == answer_counts{1, {0, 1, 1, 1}});
-    sample.expected = core::milliseconds{1}; // a way and a step take longer
+    sample.expected = core::milliseconds{1}; // below the lower limit of expected times
     sample.first = core::milliseconds{25};
     CHECK(it.judge(sample) == answer_counts{1, {0, 0, 0, 0}});
     sample.expected = {};
@@ -166,7 +168,7 @@
     CHECK(it.judge(sample) == answer_counts{1, {0, 1, 0, 0}});
 }
 
-TEST_CASE("an answer that did not come says how long it takes at least")
+TEST_CASE("a pending answer counts as slow once it exceeds the limit")
 {
     answer_times it;
     version_sample sample;
