--- a/include/runlink/routing/answer_times.hpp
+++ b/include/runlink/routing/answer_times.hpp
@@ -34,7 +34,7 @@
 public:
     /// Counts one answer with its flaws. Returns an empty count for a pending answer that shows no flaw so
     /// far.
-    answer_counts judge(const version_sample& it) const;
+    answer_counts classify(const version_sample& it) const;
     /// Adds a complete answer of a version that is not on trial to the typical times.
     void learn(const version_sample& it);
 
--- a/include/runlink/routing/endpoint_backlog.hpp
+++ b/include/runlink/routing/endpoint_backlog.hpp
@@ -19,7 +19,7 @@
 {
     /// Longest time that an unanswered entry counts. Longer waits are handled by the timers of the requests
     /// themselves.
-    milliseconds longest{10'000};
+    milliseconds max_entry_age{10'000};
 };
 
 /// Estimates for each endpoint the time that it needs to read the prompts sent to it.
@@ -46,13 +46,13 @@
     /// Removes own work that was sent at `sent_at`: its answer has begun, or the attempt was cancelled.
     void withdrawn(time_point now, endpoint_hash from, time_point sent_at);
     /// Expected time until the endpoint has read all prompts that are known to wait there.
-    duration left(time_point now, endpoint_hash of) const;
+    duration time_left(time_point now, endpoint_hash of) const;
     /// Replaces the loads caused by other failure domains, whose instances do not announce each prompt.
-    void told_far(time_point now, const std::vector<endpoint_load>& all);
+    void set_remote_loads(time_point now, const std::vector<endpoint_load>& all);
     /// The loads of at least `least` caused by instances that announce each prompt, for the load digest to
     /// other failure domains.
     std::vector<endpoint_load> near_loads(time_point now, milliseconds least) const;
-    /// Drops entries that are older than `longest`, and idle endpoints.
+    /// Drops entries that are older than `max_entry_age`, and idle endpoints.
     void expire(time_point now);
 
 private:
@@ -68,13 +68,13 @@
         time_point busy_until = time_point::min(); ///< expected end of reading all entries
     };
 
-    static duration near_left(time_point now, const queue& it);
+    static duration local_time_left(time_point now, const queue& it);
     /// Limits `busy_until` to the time that the remaining entries need together.
-    static void shorten(time_point now, queue& it);
+    static void limit_busy_until(time_point now, queue& it);
 
     backlog_options options_;
     std::map<endpoint_hash, queue> queues_;
-    std::map<endpoint_hash, time_point> far_busy_until_;
+    std::map<endpoint_hash, time_point> remote_busy_until_;
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/endpoint_chooser.hpp
+++ b/include/runlink/routing/endpoint_chooser.hpp
@@ -27,7 +27,7 @@
     std::uint32_t failures_to_eject = 2; ///< consecutive broken answers
     /// Number of requests in flight by which an endpoint of the own failure domain may exceed one of another
     /// failure domain and still be preferred, for its shorter network path.
-    std::uint32_t near_bonus = 1;
+    std::uint32_t local_domain_bonus = 1;
     placement_options placement;
 };
 
@@ -58,7 +58,7 @@
     const endpoint_entry* peek(time_point now, const endpoint_directory& from,
                                const endpoint_need& need) const;
     /// Advances the round-robin order among endpoints of equal cost.
-    void pass_turn() { ++turn_; }
+    void pass_turn() { ++rotation_; }
     using candidates = std::vector<const endpoint_entry*>;
     /// Endpoints that meet the constraints of `need`, including those in backoff.
     candidates fitting(time_point now, const endpoint_directory& from, const endpoint_need& need) const;
@@ -81,28 +81,28 @@
 
     std::uint32_t in_flight(const endpoint_id& id) const;
     /// Whether the endpoint is in backoff, and used only if no other endpoint is available.
-    bool is_aside(time_point now, const endpoint_id& id) const { return now < at(id).aside_until; }
+    bool is_aside(time_point now, const endpoint_id& id) const { return now < at(id).backoff_until; }
 
 private:
     struct load
     {
         std::uint32_t in_flight = 0;
         std::uint32_t failures = 0; ///< consecutive
-        time_point aside_until = time_point::min();
+        time_point backoff_until = time_point::min();
     };
 
     const load& at(const endpoint_id& id) const;
     void eject(time_point now, load& it);
     /// The candidates that are not in backoff.
-    candidates sound(time_point now, const candidates& from) const;
-    const endpoint_entry* soonest(time_point now, const candidates& from, const prompt_need& need) const;
+    candidates without_backoff(time_point now, const candidates& from) const;
+    const endpoint_entry* lowest_cost(time_point now, const candidates& from, const prompt_need& need) const;
     const endpoint_entry* least_loaded(const candidates& from) const;
 
     chooser_options options_;
     failure_domain_id own_domain_;
     prompt_placement placement_;
     std::map<endpoint_id, load> loads_;
-    std::uint64_t turn_ = 1; ///< index of the first candidate, for round-robin among equal costs
+    std::uint64_t rotation_ = 1; ///< index of the first candidate, for round-robin among equal costs
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/endpoint_directory.hpp
+++ b/include/runlink/routing/endpoint_directory.hpp
@@ -54,13 +54,13 @@
     /// entries again within about two seconds of the store's return.
     milliseconds vanished_grace{1700};
     /// An entry that vanishes within this time after the store's return counts as lost by the outage.
-    milliseconds outage_shadow{2500};
+    milliseconds store_recovery_window{2500};
     /// How long an endpoint that announced its shutdown in an answer may still get requests that no other
     /// endpoint can take. Must be below the endpoint's remaining service time minus the network delay. 0:
     /// never.
     milliseconds last_resort{1400};
     /// How long the leaving mark of an unlisted incarnation is kept, since its entry may reappear.
-    milliseconds marks_kept{600'000};
+    milliseconds leaving_mark_ttl{600'000};
 };
 
 /// Tracks the endpoint entries of the store, and tells which endpoints may get new work.
@@ -99,7 +99,7 @@
     /// Whether the endpoint is known to be shutting down, by its entry or by its own announcement.
     bool is_leaving(const endpoint_id& id) const;
     /// Incarnations that announced their shutdown themselves, and when.
-    const std::map<endpoint_id, time_point>& leaving_marks() const { return marks_; }
+    const std::map<endpoint_id, time_point>& leaving_marks() const { return leaving_marks_; }
     /// The store is reachable again after an outage.
     void store_returned(time_point now) { store_returned_at_ = now; }
 
@@ -133,13 +133,14 @@
 
     bool is_last_resort(time_point now, const record& it) const;
     void forget_old_incarnations();
-    void forget_old_marks(time_point now);
+    void forget_old_leaving_marks(time_point now);
 
     directory_options options_;
     std::map<endpoint_id, record> records_;
-    std::map<endpoint_name, endpoint_id> lives_;                 ///< current incarnation, in `records_`
+    std::map<endpoint_name, endpoint_id> current_ids_;           ///< current incarnation, in `records_`
     std::map<endpoint_name, endpoint_incarnation> incarnations_; ///< latest known incarnation
-    std::map<endpoint_id, time_point> marks_; ///< by incarnation: when it announced its shutdown itself
+    std::map<endpoint_id, time_point>
+        leaving_marks_; ///< by incarnation: when it announced its shutdown itself
     time_point store_returned_at_ = time_point::min();
 };
 
--- a/include/runlink/routing/load_digest.hpp
+++ b/include/runlink/routing/load_digest.hpp
@@ -53,14 +53,14 @@
     load_digest merged(core::time_point now) const;
 
 private:
-    struct told
+    struct received
     {
         core::time_point at{}; ///< arrival
         load_digest digest;
     };
 
     load_exchange_options options_;
-    std::map<core::failure_domain_id, told> domains_;
+    std::map<core::failure_domain_id, received> domains_;
 };
 
 } // namespace runlink::routing
--- a/include/runlink/routing/prompt_placement.hpp
+++ b/include/runlink/routing/prompt_placement.hpp
@@ -95,7 +95,7 @@
     /// An endpoint began its answer to a prompt of a peer.
     void on_peer_answered(time_point now, const prompt_answered& it);
     /// Takes the loads that other failure domains cause.
-    void on_far_loads(time_point now, const load_digest& it) { backlog_.told_far(now, it.loads); }
+    void on_far_loads(time_point now, const load_digest& it) { backlog_.set_remote_loads(now, it.loads); }
     /// The loads of at least `least` that the own failure domain causes.
     load_digest near_loads(time_point now, milliseconds least) const
     {
@@ -109,8 +109,10 @@
 private:
     /// The endpoint that rendezvous hashing assigns to the shared parts. Instances thereby send an uncached
     /// prompt to the same endpoint without coordination.
-    static const endpoint_entry* home_of(const std::vector<candidate>& from, const prompt_need& need);
-    duration cost(time_point now, const candidate& at, const prompt_need& need, bool is_home) const;
+    static const endpoint_entry* rendezvous_choice(const std::vector<candidate>& from,
+                                                   const prompt_need& need);
+    duration cost(time_point now, const candidate& at, const prompt_need& need,
+                  bool is_rendezvous_choice) const;
     std::uint32_t unread_tokens(time_point now, endpoint_hash at, const prompt_need& need) const;
 
     placement_options options_;
--- a/include/runlink/routing/prompt_speed.hpp
+++ b/include/runlink/routing/prompt_speed.hpp
@@ -17,7 +17,7 @@
 struct prompt_speed_options
 {
     /// Time to read 1,000 tokens before any sample: inference engines read tens of tokens per millisecond.
-    core::duration first_guess{20'000};
+    core::duration initial_per_1k_tokens{20'000};
     /// Number of the latest samples that are used per model. Under load they arrive within a second or two.
     std::size_t most_samples = 16;
     /// Shorter prompts are not sampled: the fixed time to the first token exceeds their reading time.
--- a/include/runlink/routing/rollout_control.hpp
+++ b/include/runlink/routing/rollout_control.hpp
@@ -73,7 +73,7 @@
     /// 91 instances sees an answer in six seconds, so none has enough evidence alone. The delay is the same
     /// for flawed and flawless answers: with 100 ms for flawed and 1 s for other answers, a failure rate of
     /// 20 % looked like 30 % while the share was growing.
-    milliseconds tell_time{400};
+    milliseconds evidence_delay{400};
     /// Number of answers with the full share that are awaited before a version is declared good, while there
     /// is time. In a deployment of six instances with 26 requests per second, a version that failed a sixth
     /// of its answers was declared good on 2 answers, 0.6 s after the step.
@@ -83,7 +83,7 @@
     /// Time before the deadline at which a version in doubt is either rejected or declared good. In a
     /// deployment of six instances, a version that began to fail 0.5 s before the decision was due was
     /// declared good with 2 failures in 9 answers at the full share.
-    milliseconds last_word{300};
+    milliseconds decision_margin{300};
 };
 
 /// State of a roll-out as known to this instance, for logs.
@@ -171,8 +171,8 @@
 
         rollout_order order;
         rollout_record record;
-        std::optional<version_id> settled; ///< version of the last successful roll-out
-        time_point seen{};                 ///< when the order was written
+        std::optional<version_id> stable_version; ///< version of the last successful roll-out
+        time_point ordered_at{};                  ///< when the order was written
         time_point step_began{};
         time_point next_write{};               ///< earliest time of the next write
         bool is_bad = false;                   ///< this instance found the target faulty
@@ -181,8 +181,8 @@
         std::uint64_t sent = 0;                ///< requests of this instance since the order
         std::uint64_t sent_to_new = 0;         ///< of these, sent to the new version
         version_trial trial;
-        std::optional<time_point> tell_at; ///< when evidence is sent to peers
-        bool is_told_again =
+        std::optional<time_point> evidence_due_at; ///< when evidence is sent to peers
+        bool is_repeat_scheduled =
             false; ///< the latest evidence was scheduled a second time, as datagrams may be lost
         std::optional<version_id> rejected; ///< version that an earlier order rolled back
     };
@@ -198,21 +198,21 @@
     /// When the next step or the verdict is due, without the write delay.
     time_point next_change(const rollout& it) const;
     /// Whether a session that has not run on the new version may do so now.
-    bool may_enter(const rollout& it, session_hash session, bool ran_on_old) const;
+    bool may_run_on_target(const rollout& it, session_hash session, bool ran_on_old) const;
     rollout& at(const service_id& service);
     rollout* find_running(const service_id& service);
     trial_phase phase_of(const rollout& it) const;
     /// Rejects the target if the evidence suffices.
-    void judge(time_point now, rollout& it);
+    void reject_if_faulty(time_point now, rollout& it);
     void reject(rollout& it, const version_fault& why);
     /// Whether the next step has to wait. Shortly before the deadline a version in doubt is rejected instead.
-    bool is_in_doubt(time_point now, rollout& it);
+    bool must_hold(time_point now, rollout& it);
     /// Whether the version has the full share, but fewer than `least_answers` answers since.
     bool has_too_few_answers(const rollout& it) const;
     /// Schedules sending evidence to peers, at the latest at `at`.
-    void tell_by(rollout& it, time_point at);
+    void schedule_evidence(rollout& it, time_point at);
     /// Delay between the due time of a step and its write by this instance.
-    milliseconds delay() const;
+    milliseconds write_delay() const;
     /// Delay between a verdict and its write.
     milliseconds verdict_delay() const;
 
--- a/include/runlink/routing/rollout_schedule.hpp
+++ b/include/runlink/routing/rollout_schedule.hpp
@@ -20,7 +20,7 @@
     double step_time = 0.02; ///< time between the steps of the last part, as a fraction of the roll-out time
     /// Fraction of the roll-out time before which the last part does not begin. Sessions must not be moved in
     /// the first half of a roll-out.
-    double hold_until = 0.52;
+    double hold_fraction = 0.52;
     /// Time before the first share takes effect. By then all instances have received the order and announced
     /// the sessions that ran before it.
     core::milliseconds settle_time{5300};
@@ -35,7 +35,7 @@
     double exposure_share = 0.15;
     /// Fraction of `exposure_share` that the schedule uses; the rest covers traffic that rises towards the
     /// end.
-    double planned_part = 0.85;
+    double planned_fraction = 0.85;
     /// Requests above the planned share that one instance may send, without which it could never send the
     /// first one.
     std::uint32_t exposure_slack = 1;
@@ -44,8 +44,8 @@
 /// Progress of a roll-out.
 struct rollout_progress
 {
-    core::time_point seen{};      ///< when the order was written
-    core::milliseconds allowed{}; ///< time for the whole roll-out
+    core::time_point ordered_at{}; ///< when the order was written
+    core::milliseconds allowed{};  ///< time for the whole roll-out
     core::time_point step_began{};
     std::uint32_t share_percent = 0;
 };
@@ -74,7 +74,7 @@
     core::milliseconds settle(core::milliseconds allowed) const;
     core::milliseconds reserve(core::milliseconds allowed) const;
     /// Share of all requests that is planned to run on the new version.
-    double planned_share() const { return options_.exposure_share * options_.planned_part; }
+    double planned_share() const { return options_.exposure_share * options_.planned_fraction; }
 
     schedule_options options_;
 };
--- a/include/runlink/routing/version_trial.hpp
+++ b/include/runlink/routing/version_trial.hpp
@@ -40,17 +40,17 @@
     flaw_options very_slow{0.05, 0.03};
     /// Evidence above which a version is rejected. One comparison in 20,000 is wrong by chance; a roll-out
     /// makes hundreds of strongly correlated comparisons.
-    double enough = 10;
+    double reject_evidence = 10;
     /// The threshold if all answers came from a single endpoint, which may be faulty itself.
-    double enough_alone = 20;
+    double reject_evidence_alone = 20;
     /// Minimum number of flawed answers. Fewer may have a single cause outside the version.
     std::uint32_t least_flawed = 3;
     /// Evidence above which a version is not declared good while there is time left. One comparison in eight
     /// is above it by chance, which is acceptable as waiting costs nothing.
-    double hold = 2;
+    double hold_evidence = 2;
     /// Evidence above which a version is rejected when no time is left. One comparison in 50 is wrong by
     /// chance.
-    double doubt = 4;
+    double deadline_evidence = 4;
     /// Lengths of the time windows that are examined in addition to the total since the order: the longer for
     /// a fault that begins late, the shorter for one that begins with the step to all requests.
     std::array<std::size_t, 2> latest_seconds{5, 2};
@@ -120,7 +120,7 @@
         endpoint_sets own_endpoints; ///< of these, those with answers at this instance
     };
     /// Counts that a peer reported last.
-    struct told
+    struct reported
     {
         answer_counts fresh;
         answer_counts old;
@@ -144,17 +144,17 @@
     /// Whether a flaw is tested in a phase.
     static bool counts_in(answer_flaw flaw, trial_phase phase);
     /// The fault with the most evidence over all views and windows, if it exceeds the required evidence.
-    std::optional<version_fault> strongest(core::time_point now, trial_phase phase, double enough,
-                                           double enough_alone) const;
+    std::optional<version_fault> strongest(core::time_point now, trial_phase phase, double required,
+                                           double required_alone) const;
     std::optional<version_fault> fault_in(const view& it, core::time_point now, trial_phase phase,
                                           std::optional<std::size_t> seconds) const;
     /// The evidence required for a view, or null if a single endpoint of several accounts for all flaws.
-    static std::optional<double> least_evidence(const view& it, double enough, double enough_alone);
-    static std::vector<endpoint_hash> some_of(const std::set<endpoint_hash>& all);
+    static std::optional<double> least_evidence(const view& it, double required, double required_alone);
+    static std::vector<endpoint_hash> first_few(const std::set<endpoint_hash>& all);
 
     trial_options options_;
     std::map<answer_group, group> groups_;
-    std::map<core::instance_id, std::map<answer_group, told>> peers_;
+    std::map<core::instance_id, std::map<answer_group, reported>> peers_;
 };
 
 } // namespace runlink::routing
--- a/src/runlink/routing/answer_times.cpp
+++ b/src/runlink/routing/answer_times.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-answer_counts answer_times::judge(const version_sample& it) const
+answer_counts answer_times::classify(const version_sample& it) const
 {
     const auto expected =
         it.expected.count() > 0
--- a/src/runlink/routing/endpoint_backlog.cpp
+++ b/src/runlink/routing/endpoint_backlog.cpp
@@ -20,7 +20,7 @@
         return;
     // Answers may arrive out of order, so own work without an answer stays.
     std::erase_if(found->second.entries, [&](const entry& e) { return e.sent_at <= sent_at && !e.is_own; });
-    shorten(now, found->second);
+    limit_busy_until(now, found->second);
 }
 
 void endpoint_backlog::withdrawn(time_point now, endpoint_hash from, time_point sent_at)
@@ -34,10 +34,10 @@
     if (gone == entries.end())
         return;
     entries.erase(gone);
-    shorten(now, found->second);
+    limit_busy_until(now, found->second);
 }
 
-void endpoint_backlog::shorten(time_point now, queue& it)
+void endpoint_backlog::limit_busy_until(time_point now, queue& it)
 {
     duration rest{};
     for (const auto& e : it.entries)
@@ -45,7 +45,7 @@
     it.busy_until = std::min(it.busy_until, now + rest);
 }
 
-duration endpoint_backlog::near_left(time_point now, const queue& it)
+duration endpoint_backlog::local_time_left(time_point now, const queue& it)
 {
     // An endpoint may be slower than expected: own prompts without an answer still wait there.
     duration own{};
@@ -54,27 +54,27 @@
     return std::max(it.busy_until - now, own);
 }
 
-duration endpoint_backlog::left(time_point now, endpoint_hash of) const
+duration endpoint_backlog::time_left(time_point now, endpoint_hash of) const
 {
     const auto queue = queues_.find(of);
-    const auto far = far_busy_until_.find(of);
-    const auto near_part = queue == queues_.end() ? duration{} : near_left(now, queue->second);
-    const auto far_part = far == far_busy_until_.end() ? duration{} : far->second - now;
-    return near_part + std::max(far_part, duration{});
+    const auto remote = remote_busy_until_.find(of);
+    const auto local_part = queue == queues_.end() ? duration{} : local_time_left(now, queue->second);
+    const auto remote_part = remote == remote_busy_until_.end() ? duration{} : remote->second - now;
+    return local_part + std::max(remote_part, duration{});
 }
 
-void endpoint_backlog::told_far(time_point now, const std::vector<endpoint_load>& all)
+void endpoint_backlog::set_remote_loads(time_point now, const std::vector<endpoint_load>& all)
 {
-    far_busy_until_.clear();
+    remote_busy_until_.clear();
     for (const auto& it : all)
-        far_busy_until_[it.endpoint] = now + it.left;
+        remote_busy_until_[it.endpoint] = now + it.left;
 }
 
 std::vector<endpoint_load> endpoint_backlog::near_loads(time_point now, milliseconds least) const
 {
     std::vector<endpoint_load> out;
     for (const auto& [endpoint, it] : queues_)
-        if (const auto left = std::chrono::floor<milliseconds>(near_left(now, it)); left >= least)
+        if (const auto left = std::chrono::floor<milliseconds>(local_time_left(now, it)); left >= least)
             out.push_back({endpoint, left});
     return out;
 }
@@ -83,9 +83,9 @@
 {
     for (auto& [endpoint, it] : queues_)
     {
-        while (!it.entries.empty() && now - it.entries.front().sent_at >= options_.longest)
+        while (!it.entries.empty() && now - it.entries.front().sent_at >= options_.max_entry_age)
             it.entries.pop_front();
-        it.busy_until = std::min(it.busy_until, now + options_.longest);
+        it.busy_until = std::min(it.busy_until, now + options_.max_entry_age);
     }
     std::erase_if(queues_,
                   [&](const auto& it) { return it.second.entries.empty() && it.second.busy_until <= now; });
--- a/src/runlink/routing/endpoint_chooser.cpp
+++ b/src/runlink/routing/endpoint_chooser.cpp
@@ -46,14 +46,14 @@
 void endpoint_chooser::refused(time_point now, const endpoint_id& id)
 {
     auto& it = loads_[id];
-    it.aside_until = std::max(it.aside_until, now + options_.refusal_pause);
+    it.backoff_until = std::max(it.backoff_until, now + options_.refusal_pause);
 }
 
 void endpoint_chooser::eject(time_point now, load& it)
 {
     const auto doublings = std::min(it.failures, max_doublings);
     const auto time = std::min(options_.first_ejection * (1U << doublings) / 2, options_.longest_ejection);
-    it.aside_until = std::max(it.aside_until, now + time);
+    it.backoff_until = std::max(it.backoff_until, now + time);
 }
 
 void endpoint_chooser::not_reached(time_point now, const endpoint_id& id)
@@ -104,7 +104,7 @@
     return preferred.empty() && !is_strict ? all : preferred;
 }
 
-endpoint_chooser::candidates endpoint_chooser::sound(time_point now, const candidates& from) const
+endpoint_chooser::candidates endpoint_chooser::without_backoff(time_point now, const candidates& from) const
 {
     candidates out;
     for (const auto* it : from)
@@ -113,13 +113,13 @@
     return out;
 }
 
-const endpoint_entry* endpoint_chooser::soonest(time_point now, const candidates& from,
-                                                const prompt_need& need) const
+const endpoint_entry* endpoint_chooser::lowest_cost(time_point now, const candidates& from,
+                                                    const prompt_need& need) const
 {
     std::vector<prompt_placement::candidate> all;
     for (std::size_t n = 0; n < from.size(); ++n)
     {
-        const auto* it = from[(n + turn_) % from.size()];
+        const auto* it = from[(n + rotation_) % from.size()];
         all.push_back({it, at(it->id).in_flight});
     }
     return placement_.choose(now, all, need);
@@ -131,9 +131,9 @@
     std::uint64_t lowest = 0;
     for (std::size_t n = 0; n < from.size(); ++n)
     {
-        const auto* it = from[(n + turn_) % from.size()];
+        const auto* it = from[(n + rotation_) % from.size()];
         const auto& load = at(it->id);
-        const auto far = it->failure_domain == own_domain_ ? 0U : options_.near_bonus;
+        const auto far = it->failure_domain == own_domain_ ? 0U : options_.local_domain_bonus;
         const std::uint64_t cost = static_cast<std::uint64_t>(load.in_flight) + far;
         if (best == nullptr || cost < lowest)
         {
@@ -158,9 +158,9 @@
     const auto all = fitting(now, from, need);
     if (all.empty())
         return nullptr;
-    const auto good = sound(now, all);
+    const auto good = without_backoff(now, all);
     const auto& usable = good.empty() ? all : good;
-    return need.prompt ? soonest(now, usable, *need.prompt) : least_loaded(usable);
+    return need.prompt ? lowest_cost(now, usable, *need.prompt) : least_loaded(usable);
 }
 
 } // namespace runlink::routing
--- a/src/runlink/routing/endpoint_directory.cpp
+++ b/src/runlink/routing/endpoint_directory.cpp
@@ -11,7 +11,7 @@
 
 /// Number of removed names whose latest incarnation is remembered. Delayed updates of an earlier incarnation
 /// arrive within seconds of a start.
-constexpr std::size_t most_ended_names = 1024;
+constexpr std::size_t most_removed_names = 1024;
 
 } // namespace
 
@@ -34,14 +34,14 @@
     const auto found = records_.find(it.id);
     if (found == records_.end())
     {
-        const bool had_other_life = drop(it.name) == change::removed;
+        const bool replaced_incarnation = drop(it.name) == change::removed;
         auto& added = records_.emplace(it.id, record{it}).first->second;
         added.is_listed_as_leaving = it.leaving;
-        added.entry.leaving = it.leaving || marks_.contains(it.id);
-        lives_[it.name] = it.id;
+        added.entry.leaving = it.leaving || leaving_marks_.contains(it.id);
+        current_ids_[it.name] = it.id;
         if (added.entry.leaving)
             return change::leaving;
-        return had_other_life ? change::restarted : change::added;
+        return replaced_incarnation ? change::restarted : change::added;
     }
     auto& old = found->second;
     const bool was_leaving = old.entry.leaving;
@@ -59,13 +59,13 @@
 
 endpoint_directory::change endpoint_directory::remove(time_point now, const endpoint_name& name)
 {
-    const auto life = lives_.find(name);
-    if (life == lives_.end())
+    const auto life = current_ids_.find(name);
+    if (life == current_ids_.end())
         return change::none;
     auto& it = records_.at(life->second);
-    const bool in_shadow =
-        store_returned_at_ != time_point::min() && now - store_returned_at_ < options_.outage_shadow;
-    if (!in_shadow || it.entry.leaving)
+    const bool is_after_outage =
+        store_returned_at_ != time_point::min() && now - store_returned_at_ < options_.store_recovery_window;
+    if (!is_after_outage || it.entry.leaving)
         return drop(name);
     it.usable_until = std::min(it.usable_until, now + options_.vanished_grace);
     return change::none;
@@ -73,11 +73,11 @@
 
 endpoint_directory::change endpoint_directory::drop(const endpoint_name& name)
 {
-    const auto life = lives_.find(name);
-    if (life == lives_.end())
+    const auto life = current_ids_.find(name);
+    if (life == current_ids_.end())
         return change::none;
     records_.erase(life->second);
-    lives_.erase(life);
+    current_ids_.erase(life);
     return change::removed;
 }
 
@@ -90,7 +90,7 @@
         put(it);
     }
     std::vector<endpoint_name> missing;
-    for (const auto& [name, id] : lives_)
+    for (const auto& [name, id] : current_ids_)
         if (!listed.contains(name))
             missing.push_back(name);
     for (const auto& name : missing)
@@ -99,7 +99,7 @@
 
 bool endpoint_directory::mark_leaving(time_point since, const endpoint_id& id)
 {
-    if (!marks_.try_emplace(id, since).second)
+    if (!leaving_marks_.try_emplace(id, since).second)
         return false;
     if (const auto found = records_.find(id); found != records_.end())
         found->second.entry.leaving = true;
@@ -109,13 +109,13 @@
 bool endpoint_directory::is_leaving(const endpoint_id& id) const
 {
     const auto* it = find(id);
-    return marks_.contains(id) || (it != nullptr && it->leaving);
+    return leaving_marks_.contains(id) || (it != nullptr && it->leaving);
 }
 
 bool endpoint_directory::is_last_resort(time_point now, const record& it) const
 {
-    const auto mark = marks_.find(it.entry.id);
-    return mark != marks_.end() && !it.is_listed_as_leaving && now < it.usable_until &&
+    const auto mark = leaving_marks_.find(it.entry.id);
+    return mark != leaving_marks_.end() && !it.is_listed_as_leaving && now < it.usable_until &&
            now < mark->second + options_.last_resort;
 }
 
@@ -129,7 +129,7 @@
                                                                     const service_id& service) const
 {
     std::vector<const endpoint_entry*> out;
-    if (marks_.empty())
+    if (leaving_marks_.empty())
         return out;
     for (const auto& [id, it] : records_)
         if (it.entry.service == service && is_last_resort(now, it))
@@ -137,10 +137,10 @@
     return out;
 }
 
-void endpoint_directory::forget_old_marks(time_point now)
+void endpoint_directory::forget_old_leaving_marks(time_point now)
 {
-    std::erase_if(marks_, [&](const auto& it)
-                  { return !records_.contains(it.first) && now - it.second >= options_.marks_kept; });
+    std::erase_if(leaving_marks_, [&](const auto& it)
+                  { return !records_.contains(it.first) && now - it.second >= options_.leaving_mark_ttl; });
 }
 
 void endpoint_directory::forget_vanished(time_point now)
@@ -152,14 +152,14 @@
     for (const auto& name : over)
         drop(name);
     forget_old_incarnations();
-    forget_old_marks(now);
+    forget_old_leaving_marks(now);
 }
 
 void endpoint_directory::forget_old_incarnations()
 {
-    if (incarnations_.size() <= lives_.size() + most_ended_names)
+    if (incarnations_.size() <= current_ids_.size() + most_removed_names)
         return;
-    std::erase_if(incarnations_, [&](const auto& it) { return !lives_.contains(it.first); });
+    std::erase_if(incarnations_, [&](const auto& it) { return !current_ids_.contains(it.first); });
 }
 
 std::vector<const endpoint_entry*> endpoint_directory::usable(time_point now, const service_id& service) const
--- a/src/runlink/routing/placement_test.cpp
+++ b/src/runlink/routing/placement_test.cpp
@@ -92,7 +92,7 @@
         const auto* to = choosers[instance].choose(now, directory, need);
         REQUIRE(to != nullptr);
         const auto placed = choosers[instance].placement().sent(now, *to, prompt);
-        if (tells_all && choosers[instance].placement().is_told(placed))
+        if (announces_all && choosers[instance].placement().is_told(placed))
             for (std::size_t n = 0; n < choosers.size(); ++n)
                 if (n != instance)
                     choosers[n].placement().on_peer_sent(
@@ -101,7 +101,7 @@
         const bool is_kept = engine.kept[prompt.shared];
         engine.kept[prompt.shared] = true;
         const auto unread = prompt.own_tokens + (is_kept ? 0 : prompt.shared_tokens);
-        again += is_kept ? 0 : prompt.shared_tokens;
+        reread_tokens += is_kept ? 0 : prompt.shared_tokens;
         engine.free_at = std::max(engine.free_at, now) + reading(prompt.model, unread);
         reads.push_back({engine.free_at, instance, placed});
         return {to->id, engine.free_at - now};
@@ -116,7 +116,7 @@
                 const auto age = std::chrono::floor<milliseconds>(it.done - it.placed.sent_at);
                 if (n == it.instance)
                     choosers[n].placement().answered(it.done, it.placed);
-                else if (tells_all)
+                else if (announces_all)
                     choosers[n].placement().on_peer_answered(it.done, {it.placed.endpoint, age});
             }
         std::erase_if(reads, [&](const auto& it) { return it.done <= now; });
@@ -154,10 +154,10 @@
     }
 
     std::deque<endpoint_chooser> choosers;
-    bool tells_all = true; ///< each prompt is announced to all instances
+    bool announces_all = true; ///< each prompt is announced to all instances
     std::map<endpoint_id, engine> engines;
     std::vector<read> reads;
-    std::uint64_t again = 0; ///< shared tokens read by endpoints without them in their cache
+    std::uint64_t reread_tokens = 0; ///< shared tokens read by endpoints without them in their cache
 };
 
 } // namespace
@@ -194,13 +194,13 @@
     it.sent(start, e, milliseconds{300}, false);
     it.sent(start + milliseconds{10}, e, milliseconds{500}, true);
     it.sent(start + milliseconds{20}, e, milliseconds{100}, false);
-    CHECK(it.left(start + milliseconds{20}, e) == milliseconds{880});
-    CHECK(it.left(start + milliseconds{200}, e) == milliseconds{700});
+    CHECK(it.time_left(start + milliseconds{20}, e) == milliseconds{880});
+    CHECK(it.time_left(start + milliseconds{200}, e) == milliseconds{700});
     it.withdrawn(start + milliseconds{210}, e, start + milliseconds{10});
     it.answered(start + milliseconds{210}, e, start + milliseconds{10});
-    CHECK(it.left(start + milliseconds{210}, e) == milliseconds{100});
-    CHECK(it.left(start + milliseconds{400}, e) == milliseconds{0});
-    CHECK(it.left(start, endpoint_hash{8}) == milliseconds{0});
+    CHECK(it.time_left(start + milliseconds{210}, e) == milliseconds{100});
+    CHECK(it.time_left(start + milliseconds{400}, e) == milliseconds{0});
+    CHECK(it.time_left(start, endpoint_hash{8}) == milliseconds{0});
 }
 
 TEST_CASE("own prompts count as backlog until they are answered, however slow the endpoint is")
@@ -208,12 +208,12 @@
     endpoint_backlog it;
     const endpoint_hash e{7};
     it.sent(start, e, milliseconds{100}, true);
-    CHECK(it.left(start + milliseconds{900}, e) == milliseconds{100});
+    CHECK(it.time_left(start + milliseconds{900}, e) == milliseconds{100});
     it.withdrawn(start + milliseconds{900}, e, start);
-    CHECK(it.left(start + milliseconds{900}, e) == milliseconds{0});
+    CHECK(it.time_left(start + milliseconds{900}, e) == milliseconds{0});
     it.sent(start, e, milliseconds{100}, true);
     it.expire(start + milliseconds{10'000});
-    CHECK(it.left(start + milliseconds{10'000}, e) == milliseconds{0});
+    CHECK(it.time_left(start + milliseconds{10'000}, e) == milliseconds{0});
 }
 
 TEST_CASE("cached parts expire per model after their time to live")
@@ -347,7 +347,7 @@
     const auto run = [](bool with_digests)
     {
         fleet it{5, 12};
-        it.tells_all = false;
+        it.announces_all = false;
         duration waits{};
         std::uint64_t subject = 1;
         for (int n = 0; n < 400; ++n)
@@ -382,11 +382,11 @@
     CHECK(it.merged(start + milliseconds{100}).loads.at(0).left == milliseconds{100});
     endpoint_backlog backlog;
     backlog.sent(start, a, milliseconds{50}, false);
-    backlog.told_far(start, both.loads);
-    CHECK(backlog.left(start, a) == milliseconds{350});
-    CHECK(backlog.left(start + milliseconds{320}, a) == duration{});
+    backlog.set_remote_loads(start, both.loads);
+    CHECK(backlog.time_left(start, a) == milliseconds{350});
+    CHECK(backlog.time_left(start + milliseconds{320}, a) == duration{});
     CHECK(backlog.near_loads(start, milliseconds{30}).at(0).left ==
           milliseconds{50}); // excludes remote loads
-    backlog.told_far(start, {});
-    CHECK(backlog.left(start, a) == milliseconds{50});
+    backlog.set_remote_loads(start, {});
+    CHECK(backlog.time_left(start, a) == milliseconds{50});
 }
--- a/src/runlink/routing/prompt_placement.cpp
+++ b/src/runlink/routing/prompt_placement.cpp
@@ -10,13 +10,13 @@
 {
 
 constexpr std::int64_t bytes_per_kb = 1000;
-/// The reading speed is sampled only from prompts whose expected wait was below `little_wait`, or whose
+/// The reading speed is sampled only from prompts whose expected wait was below `negligible_wait`, or whose
 /// expected reading time was more than this multiple of the wait. The time after the wait is then due to the
 /// prompt itself.
-constexpr int least_work_over_wait = 2;
-constexpr milliseconds little_wait{15};
+constexpr int min_work_to_wait_ratio = 2;
+constexpr milliseconds negligible_wait{15};
 /// Lower limit of a sampled reading time, for answers that begin before the expected wait is over.
-constexpr milliseconds least_reading{1};
+constexpr milliseconds min_reading_time{1};
 
 duration part_of(duration it, double share)
 {
@@ -30,7 +30,8 @@
     return need.own_tokens + (kept_.has(now, at, need.shared) ? 0 : need.shared_tokens);
 }
 
-const endpoint_entry* prompt_placement::home_of(const std::vector<candidate>& from, const prompt_need& need)
+const endpoint_entry* prompt_placement::rendezvous_choice(const std::vector<candidate>& from,
+                                                          const prompt_need& need)
 {
     const endpoint_entry* best = nullptr;
     std::uint64_t highest = 0;
@@ -46,16 +47,16 @@
 }
 
 duration prompt_placement::cost(time_point now, const candidate& at, const prompt_need& need,
-                                bool is_home) const
+                                bool is_rendezvous_choice) const
 {
     const auto id = hash_of(at.endpoint->id);
-    const auto wait = backlog_.left(now, id);
+    const auto wait = backlog_.time_left(now, id);
     const auto first_token = wait + speed_.time_to_read(need.model, unread_tokens(now, id, need));
     auto out = wait + options_.per_request * at.in_flight;
     if (first_token > need.time_to_target)
         out += (first_token - need.time_to_target) * options_.late_weight;
     out += speed_.time_to_read(need.model, need.own_tokens);
-    if (!is_home && !kept_.has(now, id, need.shared))
+    if (!is_rendezvous_choice && !kept_.has(now, id, need.shared))
         out += part_of(speed_.time_to_read(need.model, need.shared_tokens), options_.again_weight);
     if (at.endpoint->failure_domain != own_domain_)
         out += options_.far_per_kb * static_cast<std::int64_t>(need.request_bytes) / bytes_per_kb;
@@ -65,12 +66,12 @@
 const endpoint_entry* prompt_placement::choose(time_point now, const std::vector<candidate>& from,
                                                const prompt_need& need) const
 {
-    const auto* home = home_of(from, need);
+    const auto* preferred = rendezvous_choice(from, need);
     const endpoint_entry* best = nullptr;
     duration lowest{};
     for (const auto& it : from)
     {
-        const auto costs = cost(now, it, need, it.endpoint == home);
+        const auto costs = cost(now, it, need, it.endpoint == preferred);
         if (best != nullptr && costs >= lowest)
             continue;
         best = it.endpoint;
@@ -87,7 +88,7 @@
     out.model = need.model;
     out.sent_at = now;
     out.unread_tokens = unread_tokens(now, out.endpoint, need);
-    out.wait = backlog_.left(now, out.endpoint);
+    out.wait = backlog_.time_left(now, out.endpoint);
     out.work = speed_.time_to_read(need.model, out.unread_tokens);
     return out;
 }
@@ -105,9 +106,9 @@
 {
     backlog_.withdrawn(now, it.endpoint, it.sent_at);
     backlog_.answered(now, it.endpoint, it.sent_at);
-    if (it.wait < little_wait || it.wait * least_work_over_wait < it.work)
+    if (it.wait < negligible_wait || it.wait * min_work_to_wait_ratio < it.work)
         speed_.observe(it.model, it.unread_tokens,
-                       std::max<duration>(now - it.sent_at - it.wait, least_reading));
+                       std::max<duration>(now - it.sent_at - it.wait, min_reading_time));
 }
 
 void prompt_placement::withdrawn(time_point now, const placed_prompt& it)
--- a/src/runlink/routing/prompt_speed.cpp
+++ b/src/runlink/routing/prompt_speed.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t tokens_per_unit = 1000;
 /// Samples above this multiple of the median rate are ignored: they were delayed by something else, such as a
 /// frozen process.
-constexpr int most_over_median = 4;
+constexpr int max_ratio_to_median = 4;
 
 } // namespace
 
@@ -40,7 +40,7 @@
         rates.push_back(e.rate());
     const auto middle = rates.begin() + static_cast<std::ptrdiff_t>(rates.size() / 2);
     std::nth_element(rates.begin(), middle, rates.end());
-    const auto highest = *middle * most_over_median;
+    const auto highest = *middle * max_ratio_to_median;
     std::int64_t tokens = 0;
     core::duration time{};
     for (const auto& e : samples)
@@ -56,7 +56,7 @@
 core::duration prompt_speed::time_to_read(const core::model_id& model, std::uint32_t tokens) const
 {
     const auto found = models_.find(model);
-    const auto per_1k = found == models_.end() ? options_.first_guess : found->second.per_1k_tokens;
+    const auto per_1k = found == models_.end() ? options_.initial_per_1k_tokens : found->second.per_1k_tokens;
     return per_1k * static_cast<std::int64_t>(tokens) / tokens_per_unit;
 }
 
--- a/src/runlink/routing/rollout_control.cpp
+++ b/src/runlink/routing/rollout_control.cpp
@@ -23,7 +23,7 @@
     return "unknown";
 }
 
-milliseconds rollout_control::delay() const
+milliseconds rollout_control::write_delay() const
 {
     const auto steps = static_cast<std::uint64_t>(options_.write_spread.count());
     const auto spread = milliseconds{static_cast<milliseconds::rep>(seed_ % steps)};
@@ -32,7 +32,7 @@
 
 milliseconds rollout_control::verdict_delay() const
 {
-    return follows_store_ ? milliseconds{0} : delay();
+    return follows_store_ ? milliseconds{0} : write_delay();
 }
 
 rollout_control::rollout& rollout_control::at(const service_id& service)
@@ -63,16 +63,16 @@
         return false;
     }
     const auto record = it.record;
-    auto settled = std::move(it.settled);
+    auto stable_version = std::move(it.stable_version);
     auto rejected = is_rejected(it) ? std::optional{it.record.target} : std::move(it.rejected);
     it = rollout{options_.trial};
-    it.settled = std::move(settled);
+    it.stable_version = std::move(stable_version);
     // Endpoints of the rejected version may still be listed, and without a known good version every version
     // but the target counts as old.
     if (rejected != order.target)
         it.rejected = std::move(rejected);
     it.order = order;
-    it.seen = now;
+    it.ordered_at = now;
     it.step_began = now;
     it.next_write = now;
     it.record.service = order.service;
@@ -83,7 +83,7 @@
     if (record.revision > order.revision && record.target == order.target)
         it.record = record;
     if (it.record.state == rollout_state::succeeded)
-        it.settled = it.record.target;
+        it.stable_version = it.record.target;
     return true;
 }
 
@@ -122,7 +122,7 @@
     it.answers_before_step = it.trial.fresh().all;
     it.next_write = now;
     if (record.state == rollout_state::succeeded)
-        it.settled = record.target;
+        it.stable_version = record.target;
 }
 
 void rollout_control::on_record_removed(time_point now, const service_id& service)
@@ -156,7 +156,7 @@
 {
     const auto found = rollouts_.find(service);
     if (found != rollouts_.end())
-        found->second.next_write = now + options_.write_spread + delay();
+        found->second.next_write = now + options_.write_spread + write_delay();
 }
 
 // Choice
@@ -187,7 +187,7 @@
     const auto old_version = [&]
     {
         out.excluded = target;
-        out.only = it.settled; // entries of older versions may still be listed
+        out.only = it.stable_version; // entries of older versions may still be listed
         out.avoided = it.rejected;
         return out;
     };
@@ -200,13 +200,13 @@
         return old_version();
     const bool ran_on_target = pinned && *pinned == target;
     const bool ran_on_old = pinned && *pinned != target;
-    if (it.record.share_percent == 0 || (!ran_on_target && !may_enter(it, session, ran_on_old)))
+    if (it.record.share_percent == 0 || (!ran_on_target && !may_run_on_target(it, session, ran_on_old)))
         return old_version();
     out.only = target;
     return out;
 }
 
-bool rollout_control::may_enter(const rollout& it, session_hash session, bool ran_on_old) const
+bool rollout_control::may_run_on_target(const rollout& it, session_hash session, bool ran_on_old) const
 {
     const auto share = it.record.share_percent;
     if (session.value() % whole_percent >= share || (ran_on_old && schedule_.in_first_part(share)))
@@ -219,9 +219,9 @@
 std::optional<rollout_record> rollout_control::next_record(rollout& it, time_point now)
 {
     auto out = it.record;
-    if (!it.is_bad && now < next_change(it) + delay())
+    if (!it.is_bad && now < next_change(it) + write_delay())
         return std::nullopt;
-    if (!it.is_bad && is_in_doubt(now, it))
+    if (!it.is_bad && must_hold(now, it))
     {
         it.next_write = now + options_.doubt_interval + verdict_delay();
         return std::nullopt;
@@ -246,8 +246,8 @@
 time_point rollout_control::next_change(const rollout& it) const
 {
     if (it.is_bad)
-        return it.verdict_due.value_or(it.seen);
-    return schedule_.next_step({it.seen, it.order.allowed, it.step_began, it.record.share_percent});
+        return it.verdict_due.value_or(it.ordered_at);
+    return schedule_.next_step({it.ordered_at, it.order.allowed, it.step_began, it.record.share_percent});
 }
 
 std::vector<rollout_record> rollout_control::due(time_point now)
@@ -260,7 +260,7 @@
         auto next = next_record(it, now);
         if (!next)
             continue;
-        it.next_write = now + options_.rewrite_after + delay();
+        it.next_write = now + options_.rewrite_after + write_delay();
         out.push_back(std::move(*next));
     }
     return out;
@@ -274,7 +274,7 @@
         if (it.order.revision == 0 || !is_running(it))
             continue;
         const auto change = next_change(it);
-        const auto at = std::max(it.next_write, it.is_bad ? change : change + delay());
+        const auto at = std::max(it.next_write, it.is_bad ? change : change + write_delay());
         out = out ? std::min(*out, at) : at;
     }
     return out;
--- a/src/runlink/routing/rollout_evidence.cpp
+++ b/src/runlink/routing/rollout_evidence.cpp
@@ -12,7 +12,7 @@
 void rollout_control::on_sample(time_point now, const version_sample& sample, answer_counts& counted)
 {
     auto& times = times_[sample.service];
-    const auto known = times.judge(sample);
+    const auto known = times.classify(sample);
     auto* it = find_running(sample.service);
     const bool is_new = it != nullptr && sample.version == it->order.target;
     if (!is_new)
@@ -28,8 +28,8 @@
     it->trial.count(now, sample.group, is_new, sample.endpoint, more);
     if (!is_new)
         return;
-    tell_by(*it, now + options_.tell_time);
-    judge(now, *it);
+    schedule_evidence(*it, now + options_.evidence_delay);
+    reject_if_faulty(now, *it);
 }
 
 void rollout_control::on_sent(const service_id& service, const version_id& version)
@@ -49,7 +49,7 @@
                                                             : trial_phase::all_requests;
 }
 
-void rollout_control::judge(time_point now, rollout& it)
+void rollout_control::reject_if_faulty(time_point now, rollout& it)
 {
     if (it.is_bad)
         return;
@@ -63,14 +63,14 @@
     on_verdict(it.order.service, why);
 }
 
-bool rollout_control::is_in_doubt(time_point now, rollout& it)
+bool rollout_control::must_hold(time_point now, rollout& it)
 {
     if (it.record.share_percent == 0)
         return false;
     const auto why = it.trial.doubt(now, phase_of(it));
-    if (now < it.seen + it.order.allowed - options_.last_word)
+    if (now < it.ordered_at + it.order.allowed - options_.decision_margin)
         return why || has_too_few_answers(it);
-    if (why && why->evidence >= options_.trial.doubt)
+    if (why && why->evidence >= options_.trial.deadline_evidence)
         reject(it, *why);
     return false;
 }
@@ -83,18 +83,18 @@
 
 // Exchange of evidence between instances
 
-void rollout_control::tell_by(rollout& it, time_point at)
+void rollout_control::schedule_evidence(rollout& it, time_point at)
 {
-    it.tell_at = it.tell_at ? std::min(*it.tell_at, at) : at;
-    it.is_told_again = false;
+    it.evidence_due_at = it.evidence_due_at ? std::min(*it.evidence_due_at, at) : at;
+    it.is_repeat_scheduled = false;
 }
 
 std::optional<time_point> rollout_control::evidence_due() const
 {
     std::optional<time_point> out;
     for (const auto& [service, it] : rollouts_)
-        if (it.tell_at)
-            out = out ? std::min(*out, *it.tell_at) : it.tell_at;
+        if (it.evidence_due_at)
+            out = out ? std::min(*out, *it.evidence_due_at) : it.evidence_due_at;
     return out;
 }
 
@@ -103,13 +103,13 @@
     std::vector<version_evidence> out;
     for (auto& [service, it] : rollouts_)
     {
-        if (!it.tell_at || now < *it.tell_at)
+        if (!it.evidence_due_at || now < *it.evidence_due_at)
             continue;
-        it.tell_at.reset();
+        it.evidence_due_at.reset();
         if (it.order.revision == 0 || !is_running(it))
             continue;
-        if (!std::exchange(it.is_told_again, true))
-            it.tell_at = now + options_.tell_time;
+        if (!std::exchange(it.is_repeat_scheduled, true))
+            it.evidence_due_at = now + options_.evidence_delay;
         for (auto& e : it.trial.own())
         {
             e.service = service;
@@ -132,7 +132,7 @@
         if (it == nullptr || e.front().order_revision != it->order.revision)
             continue;
         it->trial.on_peer(now, peer, e);
-        judge(now, *it);
+        reject_if_faulty(now, *it);
     }
 }
 
--- a/src/runlink/routing/rollout_schedule.cpp
+++ b/src/runlink/routing/rollout_schedule.cpp
@@ -24,7 +24,7 @@
 
 core::milliseconds rollout_schedule::settle(core::milliseconds allowed) const
 {
-    return std::min(options_.settle_time, part_of(allowed, options_.hold_until));
+    return std::min(options_.settle_time, part_of(allowed, options_.hold_fraction));
 }
 
 core::milliseconds rollout_schedule::reserve(core::milliseconds allowed) const
@@ -40,16 +40,17 @@
     const auto settled = part_in(settle(allowed), allowed);
     const auto last = first < 1 ? (planned_share() - first * (1 - settled)) / (1 - first) : 0;
     const auto least = reserve(allowed) + options_.least_overlap;
-    return std::max(least, part_of(allowed, std::min(last, 1 - options_.hold_until)));
+    return std::max(least, part_of(allowed, std::min(last, 1 - options_.hold_fraction)));
 }
 
 core::time_point rollout_schedule::next_step(const rollout_progress& it) const
 {
-    const auto end = it.seen + it.allowed;
+    const auto end = it.ordered_at + it.allowed;
     if (it.share_percent == 0)
-        return it.seen + settle(it.allowed);
+        return it.ordered_at + settle(it.allowed);
     if (in_first_part(it.share_percent))
-        return std::max(end - last_part(it.allowed), it.seen + part_of(it.allowed, options_.hold_until));
+        return std::max(end - last_part(it.allowed),
+                        it.ordered_at + part_of(it.allowed, options_.hold_fraction));
     if (it.share_percent < options_.steps_percent.back())
         return it.step_began + part_of(it.allowed, options_.step_time);
     return std::max(end - reserve(it.allowed), it.step_began + options_.least_overlap);
--- a/src/runlink/routing/rollout_test.cpp
+++ b/src/runlink/routing/rollout_test.cpp
@@ -28,7 +28,7 @@
     return out;
 }
 
-void give(rollout_control& to, const version_sample& it, time_point now = start)
+void add_sample(rollout_control& to, const version_sample& it, time_point now = start)
 {
     answer_counts counted;
     to.on_sample(now, it, counted);
@@ -112,9 +112,9 @@
     auto it = make_rollout(&verdict);
     it.on_order(start, order);
     for (int n = 0; n < 5; ++n)
-        give(it, make_sample("v2", "e1", true));
+        add_sample(it, make_sample("v2", "e1", true));
     CHECK(verdict.empty());
-    give(it, make_sample("v2", "e2", true));
+    add_sample(it, make_sample("v2", "e2", true));
     CHECK_FALSE(verdict.empty());
     CHECK(it.choose(order.service, session_hash{0}, std::nullopt).excluded == order.target);
 }
@@ -174,14 +174,14 @@
     {
         auto old = make_sample("v1", "e1", false);
         old.pace = milliseconds{20};
-        give(it, old);
+        add_sample(it, old);
     }
     it.on_order(start, order);
     for (int n = 0; n < 12; ++n)
     {
         auto fresh = make_sample("v2", n % 2 == 0 ? "e2" : "e3", false);
         fresh.pace = milliseconds{160};
-        give(it, fresh);
+        add_sample(it, fresh);
     }
     CHECK_FALSE(verdict.empty());
 }
@@ -283,13 +283,13 @@
     {
         auto old = make_sample("v1", "e1", false);
         old.first = milliseconds{80};
-        give(it, old);
+        add_sample(it, old);
     }
     for (int n = 0; n < 150 && verdict.empty(); ++n) // at most 50 slow answers
     {
         auto fresh = make_sample("v2", n % 4 < 2 ? "e2" : "e3", false);
         fresh.first = milliseconds{n % 3 == 0 ? 900 : 90};
-        give(it, fresh);
+        add_sample(it, fresh);
     }
     CHECK_FALSE(verdict.empty());
 }
@@ -303,10 +303,10 @@
     {
         auto old = make_sample("v1", "e1", false);
         old.pace = milliseconds{20};
-        give(it, old);
+        add_sample(it, old);
         auto fresh = make_sample("v2", "e2", false);
         fresh.pace = milliseconds{n % 8 == 0 ? 900 : 22};
-        give(it, fresh);
+        add_sample(it, fresh);
     }
     CHECK(verdict.empty());
 }
@@ -335,13 +335,13 @@
     {
         auto old = make_sample("v1", "e1", false);
         old.first = milliseconds{80};
-        give(it, old);
+        add_sample(it, old);
     }
     for (int n = 0; n < 300; ++n) // at most 50 slow answers
     {
         auto fresh = make_sample("v2", n % 4 < 2 ? "e2" : "e3", false);
         fresh.first = milliseconds{n % 6 == 5 ? 700 : 90};
-        give(it, fresh);
+        add_sample(it, fresh);
     }
     CHECK_FALSE(verdict.empty());
 }
@@ -365,12 +365,12 @@
     rollout_control it{{}, 0};
     it.on_order(start, order);
     CHECK_FALSE(it.evidence_due());
-    give(it, make_sample("v1", "e1", false));
+    add_sample(it, make_sample("v1", "e1", false));
     CHECK_FALSE(it.evidence_due());
-    give(it, make_sample("v2", "e2", false));
+    add_sample(it, make_sample("v2", "e2", false));
     const auto due = it.evidence_due();
     REQUIRE(due);
-    CHECK(*due <= start + rollout_options{}.tell_time);
+    CHECK(*due <= start + rollout_options{}.evidence_delay);
     CHECK(it.tell_evidence(*due - milliseconds{1}).empty());
     CHECK(it.tell_evidence(*due).size() == 1);
     REQUIRE(it.evidence_due());
@@ -431,15 +431,15 @@
     it.on_record(start, {order.service, order.target, rollout_state::running, 100, 9});
     const auto late = start + order.allowed - milliseconds{1500};
     for (int n = 0; n < 400; ++n)
-        give(it, make_sample("v1", "e1", n < 4), start);
+        add_sample(it, make_sample("v1", "e1", n < 4), start);
     for (int n = 0; n < 30; ++n)
-        give(it, make_sample("v2", n % 2 == 0 ? "e2" : "e3", n == 3 || n == 14 || n == 23), late);
+        add_sample(it, make_sample("v2", n % 2 == 0 ? "e2" : "e3", n == 3 || n == 14 || n == 23), late);
     REQUIRE(verdict.empty());
     const auto end = start + order.allowed - milliseconds{300};
     for (auto t = end - milliseconds{600}; t < end; t += milliseconds{20})
         CHECK(it.due(t).empty());
     for (int n = 0; n < 20; ++n)
-        give(it, make_sample("v2", "e" + std::to_string(n), false), end);
+        add_sample(it, make_sample("v2", "e" + std::to_string(n), false), end);
     std::vector<rollout_record> writes;
     for (auto t = end; t < end + milliseconds{200} && writes.empty(); t += milliseconds{20})
         writes = it.due(t);
@@ -455,7 +455,7 @@
     it.on_order(start, order);
     it.on_record(start, {order.service, order.target, rollout_state::running, 100, 9});
     for (int n = 0; n < answers; ++n)
-        give(it, make_sample("v2", "e" + std::to_string(n), false), start);
+        add_sample(it, make_sample("v2", "e" + std::to_string(n), false), start);
     std::optional<time_point> declared;
     for (auto t = end - milliseconds{600}; t < end + milliseconds{200} && !declared; t += milliseconds{20})
         if (!it.due(t).empty())
--- a/src/runlink/routing/version_trial.cpp
+++ b/src/runlink/routing/version_trial.cpp
@@ -10,7 +10,7 @@
 
 /// Number of endpoints listed in a message. Two show that a fault is not limited to one endpoint, some more
 /// that it is not limited to two.
-constexpr std::size_t most_told_endpoints = 6;
+constexpr std::size_t most_reported_endpoints = 6;
 
 bool has_flaw(const answer_counts& it)
 {
@@ -52,11 +52,11 @@
     sound.insert(it.sound.begin(), it.sound.end());
 }
 
-std::vector<endpoint_hash> version_trial::some_of(const std::set<endpoint_hash>& all)
+std::vector<endpoint_hash> version_trial::first_few(const std::set<endpoint_hash>& all)
 {
     std::vector<endpoint_hash> out;
     for (const auto& it : all)
-        if (out.size() < most_told_endpoints)
+        if (out.size() < most_reported_endpoints)
             out.push_back(it);
     return out;
 }
@@ -86,8 +86,8 @@
                            name,
                            it.fresh.own,
                            it.old.own,
-                           some_of(it.own_endpoints.flawed),
-                           some_of(it.own_endpoints.sound)});
+                           first_few(it.own_endpoints.flawed),
+                           first_few(it.own_endpoints.sound)});
     return out;
 }
 
@@ -166,29 +166,29 @@
     return out;
 }
 
-std::optional<double> version_trial::least_evidence(const view& it, double enough, double enough_alone)
+std::optional<double> version_trial::least_evidence(const view& it, double required, double required_alone)
 {
     endpoint_sets all;
     for (const auto* e : it.groups)
         all.add(e->endpoints);
     if (all.flawed.size() > 1)
-        return enough;
+        return required;
     all.sound.insert(all.flawed.begin(), all.flawed.end());
-    return all.sound.size() == 1 ? std::optional{enough_alone} : std::nullopt;
+    return all.sound.size() == 1 ? std::optional{required_alone} : std::nullopt;
 }
 
 std::optional<version_fault> version_trial::fault(core::time_point now, trial_phase phase) const
 {
-    return strongest(now, phase, options_.enough, options_.enough_alone);
+    return strongest(now, phase, options_.reject_evidence, options_.reject_evidence_alone);
 }
 
 std::optional<version_fault> version_trial::doubt(core::time_point now, trial_phase phase) const
 {
-    return strongest(now, phase, options_.hold, options_.enough);
+    return strongest(now, phase, options_.hold_evidence, options_.reject_evidence);
 }
 
-std::optional<version_fault> version_trial::strongest(core::time_point now, trial_phase phase, double enough,
-                                                      double enough_alone) const
+std::optional<version_fault> version_trial::strongest(core::time_point now, trial_phase phase,
+                                                      double required, double required_alone) const
 {
     std::optional<version_fault> out;
     const auto look = [&](const view& it, double least, std::optional<std::size_t> seconds)
@@ -199,7 +199,7 @@
     };
     for (const auto& it : views())
     {
-        const auto least = least_evidence(it, enough, enough_alone);
+        const auto least = least_evidence(it, required, required_alone);
         if (!least)
             continue;
         look(it, *least, std::nullopt);
--- a/src/runlink/routing/version_trial_test.cpp
+++ b/src/runlink/routing/version_trial_test.cpp
@@ -153,19 +153,19 @@
     version_sample sample;
     sample.group.route = "r";
     sample.first = core::milliseconds{350};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 0, 0, 0}}); // no reference time yet
+    CHECK(it.classify(sample) == answer_counts{1, {0, 0, 0, 0}}); // no reference time yet
     sample.expected = core::milliseconds{100};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 1, 1, 0}});
+    CHECK(it.classify(sample) == answer_counts{1, {0, 1, 1, 0}});
     sample.expected = core::milliseconds{50};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 1, 1, 1}});
+    CHECK(it.classify(sample) == answer_counts{1, {0, 1, 1, 1}});
     sample.expected = core::milliseconds{1}; // below the lower limit of expected times
     sample.first = core::milliseconds{25};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 0, 0, 0}});
+    CHECK(it.classify(sample) == answer_counts{1, {0, 0, 0, 0}});
     sample.expected = {};
     for (std::size_t n = 0; n < typical_time::least_samples; ++n)
         it.learn(sample);
     sample.first = core::milliseconds{60};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 1, 0, 0}});
+    CHECK(it.classify(sample) == answer_counts{1, {0, 1, 0, 0}});
 }
 
 TEST_CASE("a pending answer counts as slow once it exceeds the limit")
@@ -175,10 +175,10 @@
     sample.is_open = true;
     sample.expected = core::milliseconds{100};
     sample.first = core::milliseconds{120};
-    CHECK(it.judge(sample).all == 0);
+    CHECK(it.classify(sample).all == 0);
     sample.first = core::milliseconds{700};
-    CHECK(it.judge(sample) == answer_counts{1, {0, 1, 1, 1}});
+    CHECK(it.classify(sample) == answer_counts{1, {0, 1, 1, 1}});
     sample.first = {};
     sample.is_stalled = true;
-    CHECK(it.judge(sample) == answer_counts{1, {0, 1, 1, 1}});
+    CHECK(it.classify(sample) == answer_counts{1, {0, 1, 1, 1}});
 }
