--- a/include/runlink/routing/endpoint_chooser.hpp
+++ b/include/runlink/routing/endpoint_chooser.hpp
@@ -37,8 +37,8 @@
     service_id service;
     std::optional<prompt_need> prompt; ///< only for services that run models
     rollout_control::choice versions;
-    const std::set<endpoint_id>* tried =
-        nullptr; ///< endpoints of earlier attempts, not used again; may be null
+    /// Endpoints of earlier attempts, which are not used again; may be null.
+    const std::set<endpoint_id>* tried = nullptr;
     /// Whether the request may be sent to an endpoint now, given its failure domain, region and warm-up.
     std::function<bool(const endpoint_entry&)> may_use = [](const endpoint_entry&) { return true; };
 };
--- a/include/runlink/routing/endpoint_directory.hpp
+++ b/include/runlink/routing/endpoint_directory.hpp
@@ -25,8 +25,8 @@
 using core::version_id;
 
 /// The id of one incarnation of an endpoint, from its start to its end. Loads, failures, cached prompts and
-/// roll-out evidence are stored under this id, so that a restarted endpoint begins without them. Incarnation
-/// 0 has the name as its id.
+/// roll-out evidence are stored under this id, so that a restarted endpoint begins without them. The id
+/// of incarnation 0 is the name itself.
 endpoint_id life_of(const endpoint_name& name, endpoint_incarnation incarnation);
 
 /// One incarnation of an endpoint.
@@ -56,8 +56,8 @@
     /// An entry that vanishes within this time after the store's return counts as lost by the outage.
     milliseconds store_recovery_window{2500};
     /// How long an endpoint that announced its shutdown in an answer may still get requests that no other
-    /// endpoint can take. Must be below the endpoint's remaining service time minus the network delay. 0:
-    /// never.
+    /// endpoint can take; 0: never. Must be below the endpoint's remaining service time minus the network
+    /// delay.
     milliseconds last_resort{1400};
     /// How long the leaving mark of an unlisted incarnation is kept, since its entry may reappear.
     milliseconds leaving_mark_ttl{600'000};
--- a/include/runlink/routing/rollout_control.hpp
+++ b/include/runlink/routing/rollout_control.hpp
@@ -182,9 +182,8 @@
         std::uint64_t sent_to_new = 0;         ///< of these, sent to the new version
         version_trial trial;
         std::optional<time_point> evidence_due_at; ///< when evidence is sent to peers
-        bool is_repeat_scheduled =
-            false; ///< the latest evidence was scheduled a second time, as datagrams may be lost
-        std::optional<version_id> rejected; ///< version that an earlier order rolled back
+        bool is_repeat_scheduled = false;          ///< evidence is sent twice, as datagrams may be lost
+        std::optional<version_id> rejected;        ///< version that an earlier order rolled back
     };
 
     static bool is_running(const rollout& it) { return it.record.state == rollout_state::running; }
--- a/src/runlink/routing/placement_test.cpp
+++ b/src/runlink/routing/placement_test.cpp
@@ -363,9 +363,9 @@
         }
         return waits;
     };
-    const auto blind = run(false);
-    const auto told = run(true);
-    CHECK(told * 2 < blind);
+    const auto without = run(false);
+    const auto with = run(true);
+    CHECK(with * 2 < without);
 }
 
 TEST_CASE("digests of several failure domains add up and decrease with time")
