--- a/include/runlink/control/fleet_join.hpp
+++ b/include/runlink/control/fleet_join.hpp
@@ -48,7 +48,7 @@
     std::function<void(time_point, const joined_view&)> take_view;
     /// Sets the instance that is asked for changes until relays are chosen. The own id means the store
     /// itself.
-    std::function<void(time_point, const instance_id&)> introduce;
+    std::function<void(time_point, const instance_id&)> set_initial_source;
     /// The start-up is complete; relays may be chosen.
     std::function<void(time_point)> settle;
 };
--- a/include/runlink/control/member_registry.hpp
+++ b/include/runlink/control/member_registry.hpp
@@ -19,7 +19,7 @@
 struct registry_options
 {
     /// Entries announced within this time are written together, since all instances may start at once.
-    core::milliseconds gather{300};
+    core::milliseconds gather_delay{300};
     core::milliseconds retry_after{1000};
     /// Maximum number of writes and removals in one call, as limited by the store.
     std::size_t max_per_call = 32;
--- a/include/runlink/control/relay.hpp
+++ b/include/runlink/control/relay.hpp
@@ -70,7 +70,7 @@
     milliseconds answer_timeout{300}; ///< far longer than a round trip
     /// Relays collect changes for this long before they watch again. Otherwise each endpoint that crashes or
     /// starts would cost each relay one call.
-    milliseconds gather{200};
+    milliseconds gather_delay{200};
     milliseconds max_proof_age{1350};         ///< with an older proof, another relay is asked
     milliseconds subscription_lifetime{3000}; ///< changes are sent to instances that asked within this time
     history_options history;
@@ -144,7 +144,7 @@
     /// Starts choosing relays.
     void start(time_point now);
     /// Sets the instance that is asked until relays are chosen. With the own id, the store is followed.
-    void introduce(time_point now, const instance_id& by);
+    void set_initial_source(time_point now, const instance_id& by);
     /// Adds or updates an instance. Those with faster links are preferred as relays, since a relay sends each
     /// change to its whole failure domain at once.
     void put_peer(const instance_id& id, const core::failure_domain_id& domain, std::uint32_t link_mbps);
@@ -177,11 +177,11 @@
     /// Whether this instance follows the store itself.
     bool is_direct() const { return direct_; }
     /// Whether this instance is the relay of its failure domain.
-    bool is_relay() const { return relay_since_ && is_used(); }
+    bool is_relay() const { return relay_since_ && uses_relays(); }
     /// The first relay of each other failure domain.
     std::vector<instance_id> other_relays() const;
     /// Whether there are enough instances to use relays.
-    bool is_used() const { return peers_.size() + 1 >= options_.min_members; }
+    bool uses_relays() const { return peers_.size() + 1 >= options_.min_members; }
 
 private:
     struct subscriber
--- a/include/runlink/control/store_follower.hpp
+++ b/include/runlink/control/store_follower.hpp
@@ -28,7 +28,7 @@
     milliseconds watch_wait{15000}; ///< maximum time of one watch; longer watches cost fewer calls
     /// Delay between a watch that returned changes and the next one. Collecting changes saves calls, but each
     /// change must be in effect within two seconds.
-    milliseconds gather{150};
+    milliseconds gather_delay{150};
     /// This delay shortly after the start, since all instances may start at once and the entry of each is a
     /// change.
     milliseconds startup_gather_delay{700};
@@ -72,7 +72,7 @@
     /// Enables or disables the own watches and proofs. While disabled, a relay supplies both.
     void set_direct(time_point now, bool direct);
     void set_proof_interval(milliseconds it) { options_.proof_interval = it; }
-    void set_gather(milliseconds it) { options_.gather = it; }
+    void set_gather_delay(milliseconds it) { options_.gather_delay = it; }
     /// Applies the changes received from a relay, which are complete up to the revision.
     void apply(time_point now, const std::vector<kv_event>& events, std::uint64_t revision);
     /// Reads the whole store again.
--- a/include/runlink/core/configuration_keeper.hpp
+++ b/include/runlink/core/configuration_keeper.hpp
@@ -50,7 +50,7 @@
     /// Handles the revision in a peer's heartbeat; a higher one is requested from the peer.
     void on_peer_revision(time_point now, const member_info& peer, config_revision revision, bool peer_ready);
     /// Handles a configuration that a peer has sent.
-    void on_document(const std::string& json);
+    void on_peer_configuration(const std::string& json);
 
     /// Writes a plan's configuration if the store still holds the plan's base revision. Fails with
     /// `plan_conflict`, `wrong_deployment`, `store_unavailable` or `store_unknown`. If the reply to the write
--- a/src/runlink/control/control_test.cpp
+++ b/src/runlink/control/control_test.cpp
@@ -257,7 +257,7 @@
     followed f;
     f.list();
     f.advance(core::milliseconds{3000}); // the start-up time is over
-    f.it.set_gather(core::milliseconds{400});
+    f.it.set_gather_delay(core::milliseconds{400});
     const auto before = f.store.watched_after.size();
     std::uint64_t revision = 5;
     for (int n = 0; n < 20; ++n) // one endpoint every 100 ms
--- a/src/runlink/control/fleet_join.cpp
+++ b/src/runlink/control/fleet_join.cpp
@@ -60,7 +60,7 @@
         return ask(now);
     hooks_.take_view(now, std::exchange(view_, {}));
     begin_settling(now);
-    hooks_.introduce(now, it.sender);
+    hooks_.set_initial_source(now, it.sender);
 }
 
 void fleet_join::read_store(time_point now)
@@ -69,7 +69,7 @@
     next_.reset();
     view_ = {};
     hooks_.list();
-    hooks_.introduce(now, self_);
+    hooks_.set_initial_source(now, self_);
 }
 
 void fleet_join::on_listed(time_point now)
--- a/src/runlink/control/join_test.cpp
+++ b/src/runlink/control/join_test.cpp
@@ -44,7 +44,7 @@
             view = e.events;
             told.push_back("view " + std::to_string(e.revision));
         };
-        out.introduce = [this](auto, const instance_id& by) { told.push_back("by " + by.str()); };
+        out.set_initial_source = [this](auto, const instance_id& by) { told.push_back("by " + by.str()); };
         out.settle = [this](auto) { told.push_back("settled"); };
         return out;
     }
--- a/src/runlink/control/member_registry.cpp
+++ b/src/runlink/control/member_registry.cpp
@@ -39,7 +39,7 @@
     if (found != listed_.end() && found->second == it)
         return;
     to_put_[it.id] = it;
-    schedule(now + options_.gather);
+    schedule(now + options_.gather_delay);
 }
 
 void member_registry::withdraw(core::time_point now, const core::instance_id& id)
@@ -48,7 +48,7 @@
     if (!listed_.contains(id))
         return;
     to_remove_.insert(id);
-    schedule(now + options_.gather);
+    schedule(now + options_.gather_delay);
 }
 
 void member_registry::schedule(core::time_point at)
--- a/src/runlink/control/relay.cpp
+++ b/src/runlink/control/relay.cpp
@@ -31,7 +31,7 @@
     const auto unit = apply / 10;
     out.ask_interval = unit * 2;
     out.answer_timeout = unit;
-    out.gather = unit;
+    out.gather_delay = unit;
     out.max_proof_age = unit * 9 / 2;
     out.no_proof_interval = unit * 4;
     return out;
@@ -44,7 +44,7 @@
     next_ = now + options_.first_choice_delay;
 }
 
-void relay::introduce(time_point now, const instance_id& by)
+void relay::set_initial_source(time_point now, const instance_id& by)
 {
     initial_source_ = by;
     next_ = now;
@@ -124,7 +124,7 @@
 {
     if (initial_source_)
         return *initial_source_ == self_;
-    return !is_used() || relays(domain_).front() == self_;
+    return !uses_relays() || relays(domain_).front() == self_;
 }
 
 bool relay::has_proof(time_point now) const
@@ -221,7 +221,7 @@
         return ask(now);
     set_direct(now, true);
     // A relay that has lost the store uses the proofs of other relays until the store answers again.
-    if (is_used() && !has_proof(now))
+    if (uses_relays() && !has_proof(now))
         ask(now);
 }
 
--- a/src/runlink/control/relay_members_test.cpp
+++ b/src/runlink/control/relay_members_test.cpp
@@ -103,7 +103,7 @@
 {
     relayed f{{"n1", "n2", "n3", "n9"}};
     for (auto& it : f.all)
-        it->introduce(f.now, instance_id{"n1"});
+        it->set_initial_source(f.now, instance_id{"n1"});
     f.advance(3000);
     CHECK(f.direct() == std::vector<std::string>{"n1"});
     CHECK(f.members.at("n3").proven);
--- a/src/runlink/control/relay_test.cpp
+++ b/src/runlink/control/relay_test.cpp
@@ -183,8 +183,8 @@
         CHECK(it.proof_interval() < it.max_proof_age);
         // Changes may be collected twice, at the relay and on the way; the delay remains a small part of the
         // limit.
-        CHECK(it.gather * 4 <= apply);
-        CHECK(it.gather >= core::milliseconds{200});
+        CHECK(it.gather_delay * 4 <= apply);
+        CHECK(it.gather_delay >= core::milliseconds{200});
     }
 }
 
--- a/src/runlink/control/store_follower.cpp
+++ b/src/runlink/control/store_follower.cpp
@@ -269,7 +269,7 @@
 
 milliseconds store_follower::watch_delay(time_point now) const
 {
-    return now - started_at_ < options_.startup_time ? options_.startup_gather_delay : options_.gather;
+    return now - started_at_ < options_.startup_time ? options_.startup_gather_delay : options_.gather_delay;
 }
 
 void store_follower::note_proof(time_point sent_at)
--- a/src/runlink/core/configuration_keeper.cpp
+++ b/src/runlink/core/configuration_keeper.cpp
@@ -78,7 +78,7 @@
     hooks_.ask_peer(peer);
 }
 
-void configuration_keeper::on_document(const std::string& json)
+void configuration_keeper::on_peer_configuration(const std::string& json)
 {
     auto parsed = parse_configuration(json);
     if (parsed)
--- a/src/runlink/core/instance.cpp
+++ b/src/runlink/core/instance.cpp
@@ -202,7 +202,7 @@
 
 void instance::on_message(time_point, const member_info&, const configuration_document& it)
 {
-    keeper_.on_document(it.json);
+    keeper_.on_peer_configuration(it.json);
 }
 
 void instance::on_message(time_point now, const member_info& from, const ledger_request& it)
--- a/src/runlink/gateway/gateway_daemon.cpp
+++ b/src/runlink/gateway/gateway_daemon.cpp
@@ -269,9 +269,10 @@
         next_digest_ = now;
     // Followers take only young proofs from relays.
     const auto options = control::relay_options::within(settings_.configuration_apply);
-    follower_.set_proof_interval(relay_.is_used() ? options.proof_interval()
-                                                  : control::follower_options{}.proof_interval);
-    follower_.set_gather(relay_.is_used() ? options.gather : control::follower_options{}.gather);
+    follower_.set_proof_interval(relay_.uses_relays() ? options.proof_interval()
+                                                      : control::follower_options{}.proof_interval);
+    follower_.set_gather_delay(relay_.uses_relays() ? options.gather_delay
+                                                    : control::follower_options{}.gather_delay);
     if (now >= next_call_report_)
     {
         next_call_report_ = now + call_report_interval;
--- a/src/runlink/gateway/gateway_daemon_peers.cpp
+++ b/src/runlink/gateway/gateway_daemon_peers.cpp
@@ -55,7 +55,8 @@
         follower_.start_with(std::move(items), it.revision);
         relay_.remember_view(it.events, it.complete_since);
     };
-    out.introduce = [this](core::time_point now, const core::instance_id& by) { relay_.introduce(now, by); };
+    out.set_initial_source = [this](core::time_point now, const core::instance_id& by)
+    { relay_.set_initial_source(now, by); };
     out.settle = [this](core::time_point now)
     {
         log_state("settled", std::to_string(gossip_.peer_count()) + " other instances");
