--- a/include/runlink/core/instance.hpp
+++ b/include/runlink/core/instance.hpp
@@ -40,7 +40,7 @@
 };
 
 /// Callbacks and ports through which an instance does I/O.
-struct instance_edge
+struct instance_hooks
 {
     store_port store;
     ledger_codec codec;
@@ -66,7 +66,7 @@
 class instance
 {
 public:
-    instance(instance_options options, instance_edge hooks);
+    instance(instance_options options, instance_hooks hooks);
     instance(const instance&) = delete;
     instance& operator=(const instance&) = delete;
 
@@ -128,7 +128,7 @@
     ledger_client_hooks make_client_hooks();
 
     instance_options options_;
-    instance_edge hooks_;
+    instance_hooks hooks_;
     std::mt19937_64 random_;
     std::uint64_t batch_count_ = 0;
     time_point now_{};
--- a/src/runlink/core/instance.cpp
+++ b/src/runlink/core/instance.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-instance::instance(instance_options options, instance_edge hooks)
+instance::instance(instance_options options, instance_hooks hooks)
     : options_{std::move(options)}, hooks_{std::move(hooks)}, random_{options_.random_seed},
       members_{options_.self, options_.members}, selector_{options_.selector,
                                                            [this](const endpoint_id& it)
--- a/tests/support/fake_world.cpp
+++ b/tests/support/fake_world.cpp
@@ -186,9 +186,9 @@
     }
 }
 
-core::instance_edge fake_world::make_edge(const std::string& name)
+core::instance_hooks fake_world::make_edge(const std::string& name)
 {
-    core::instance_edge out;
+    core::instance_hooks out;
     out.store = store.port(
         [this, name, number = lives_.at(name).number](core::duration after, std::function<void()> action)
         {
--- a/tests/support/fake_world.hpp
+++ b/tests/support/fake_world.hpp
@@ -114,7 +114,7 @@
     void schedule(const std::string& owner, core::duration after, std::function<void()> action);
     void run_due();
     void tick_all();
-    core::instance_edge make_edge(const std::string& name);
+    core::instance_hooks make_edge(const std::string& name);
     core::router_hooks make_router_hooks(const std::string& name);
     void deliver(const std::string& from, const std::string& address, const core::peer_envelope& it);
     core::request_router* router_of(const endpoint_call& it);
