--- a/include/runlink/crashes/crash_attribution.hpp
+++ b/include/runlink/crashes/crash_attribution.hpp
@@ -32,11 +32,11 @@
     std::size_t suspect_threshold = 2;
     /// Upper bound of the delay before a trial. Each instance derives its delay from its id, so that one
     /// instance at a time tries a suspected request.
-    milliseconds turn_spread{300};
+    milliseconds max_trial_delay{300};
     /// Interval at which the instance that runs a trial announces it.
     milliseconds trial_interval{500};
     /// A trial of another instance counts as lost if no announcement arrives for this long.
-    milliseconds trial_silence{1600};
+    milliseconds trial_timeout{1600};
     /// Time between the end of a trial's endpoint and the verdict. Reports of other instances may arrive
     /// meanwhile and show that another suspect ran on that endpoint.
     milliseconds verdict_delay{120};
@@ -49,7 +49,7 @@
     /// are interrupted as often as is very unlikely for any single one. Many instances decide independently.
     std::chrono::hours false_positive_interval{2400};
     /// A broken connection counts as the end of its endpoint only if that end is confirmed within this time.
-    milliseconds explanation_time{1500};
+    milliseconds end_confirmation_timeout{1500};
     /// Ends of endpoints that are seen within this time are reported in one message.
     milliseconds report_batch_window{10};
     /// If more endpoints than this end at once while they run requests of this instance, the cause is not a
@@ -58,14 +58,14 @@
     std::size_t max_simultaneous_ends = 16;
     /// How long a harmful request is refused. It then gets one more trial, because a later version of the
     /// endpoints may handle it.
-    core::seconds harmful_for{600};
+    core::seconds refusal_time{600};
     /// How long a request's record is kept after the latest end of an endpoint under it.
     core::seconds record_retention{600};
     /// Delays after which a finding, and the reports of ends that it explains, are sent again, because
     /// datagrams may be lost.
     std::vector<milliseconds> resend_delays{milliseconds{200}, milliseconds{1000}};
     /// A complete answer at this instance clears a request that becomes suspected within this time after it.
-    milliseconds answer_holds{2000};
+    milliseconds answer_validity{2000};
     std::size_t max_tracked_requests = 1024;
     std::size_t max_answered_requests = 1024;
     std::size_t max_tracked_endpoints =
@@ -108,13 +108,14 @@
     struct hooks
     {
         /// Sends a message to all other instances.
-        std::function<void(const crash_news&)> tell = [](const auto&) {};
+        std::function<void(const crash_message&)> broadcast = [](const auto&) {};
         /// This instance or another one saw that an endpoint ended.
-        std::function<void(time_point, endpoint_life)> ended = [](auto, auto) {};
+        std::function<void(time_point, endpoint_id_hash)> ended = [](auto, auto) {};
         /// The request is now suspected. Attempts of it that have not begun have to be withdrawn and wait.
         std::function<void(time_point, request_fingerprint)> suspected = [](auto, auto) {};
         /// The request is harmful: all its attempts have to be cancelled. `is_own`: found by this instance.
-        std::function<void(time_point, request_fingerprint, bool is_own)> condemned = [](auto, auto, bool) {};
+        std::function<void(time_point, request_fingerprint, bool is_own)> marked_harmful = [](auto, auto,
+                                                                                              bool) {};
     };
 
     crash_attribution(attribution_options options, std::uint64_t own_hash, hooks to);
@@ -124,37 +125,38 @@
     const attribution_options& options() const { return options_; }
     /// Whether the request may be sent now, and how.
     permission judge(time_point now, request_fingerprint it) const;
-    suspicion standing_of(time_point now, request_fingerprint it) const;
+    suspicion suspicion_of(time_point now, request_fingerprint it) const;
     /// Time left until a harmful request may get another trial; zero for any other request.
-    duration refused_for(time_point now, request_fingerprint it) const;
+    duration refusal_time_left(time_point now, request_fingerprint it) const;
     /// Endpoints that run a suspected request; no other request should be sent to them.
-    std::set<endpoint_life> on_trial(time_point now) const;
+    std::set<endpoint_id_hash> endpoints_on_trial(time_point now) const;
 
     /// This instance sends a suspected request to an endpoint as a trial.
-    void begin_trial(time_point now, request_fingerprint it, endpoint_life at);
+    void begin_trial(time_point now, request_fingerprint it, endpoint_id_hash at);
     /// The trial of this instance ended without a result. `has_reached`: its endpoint may have run the
     /// request; if false, the trial does not count towards `max_trials`.
-    void end_trial(time_point now, request_fingerprint it, endpoint_life at, bool has_reached);
+    void end_trial(time_point now, request_fingerprint it, endpoint_id_hash at, bool has_reached);
     /// Whether this instance may repeat its trial on another endpoint: nothing suggests that the current
     /// endpoint has ended, and the number of trials is below `max_trials`.
-    bool may_hand_on(request_fingerprint it) const;
+    bool may_repeat_trial(request_fingerprint it) const;
     /// The connection broke on which a request ran that was sent at `sent_at`. Returns whether the caller
     /// should check if the endpoint still accepts connections.
-    bool on_broken(time_point now, request_fingerprint it, endpoint_life at, time_point sent_at);
+    bool on_connection_broken(time_point now, request_fingerprint it, endpoint_id_hash at,
+                              time_point sent_at);
     /// An endpoint whose connections broke is alive or cannot be reached, so nothing shows that it ended.
-    void on_not_ended(time_point now, endpoint_life at);
+    void on_end_not_confirmed(time_point now, endpoint_id_hash at);
     /// The endpoint has certainly ended.
-    void on_ended(time_point now, endpoint_life at);
+    void on_ended(time_point now, endpoint_id_hash at);
     /// A request got a complete answer at this instance.
     void on_answered(time_point now, request_fingerprint it);
     /// Handles a message of another instance.
-    void on_news(time_point now, const crash_news& it);
+    void on_message(time_point now, const crash_message& it);
 
     /// The store lists the request as harmful.
     void on_recorded(time_point now, request_fingerprint it);
     /// The store no longer lists the request as harmful.
     void on_unrecorded(time_point now, request_fingerprint it);
-    /// Requests that the store still lists as harmful after `harmful_for`; returns each of them once.
+    /// Requests that the store still lists as harmful after `refusal_time`; returns each of them once.
     std::vector<request_fingerprint> take_expired(time_point now);
 
     /// Sends and decides what is due.
@@ -170,7 +172,7 @@
 private:
     struct trial
     {
-        endpoint_life endpoint;
+        endpoint_id_hash endpoint;
         bool is_own = false;
         time_point last_notice_at{};          ///< when its owner announced it last
         bool has_ended = false;               ///< whether its endpoint has ended
@@ -178,16 +180,17 @@
     };
     struct record
     {
-        std::map<endpoint_life, duration> ends; ///< ended endpoints, and how long the request had run there
-        std::set<endpoint_life> own_ends;       ///< those of `ends` where it ran for this instance
+        std::map<endpoint_id_hash, duration>
+            ends;                            ///< ended endpoints, and how long the request had run there
+        std::set<endpoint_id_hash> own_ends; ///< those of `ends` where it ran for this instance
         time_point latest_end_at{};
         std::optional<time_point> next_trial_at; ///< at this instance; set while suspected
         std::optional<trial> active_trial;
         std::uint32_t trials = 0;
-        std::optional<endpoint_life> trial_end; ///< the latest endpoint that ended during a trial
+        std::optional<endpoint_id_hash> trial_end; ///< the latest endpoint that ended during a trial
         std::optional<time_point> harmful_until;
         bool is_recorded = false;  ///< whether the store lists it as harmful
-        bool on_probation = false; ///< refused for `harmful_for`; has to pass another trial
+        bool on_probation = false; ///< refused for `refusal_time`; has to pass another trial
     };
     struct interrupted_attempt
     {
@@ -203,7 +206,7 @@
     struct scheduled_resend
     {
         time_point at{};
-        crash_news what;
+        crash_message what;
     };
 
     record* find(request_fingerprint it);
@@ -214,21 +217,21 @@
     std::size_t count_unconfirmed_losses(request_fingerprint it) const;
     /// Reports and counts the ends of the current batch.
     void flush_ends(time_point now);
-    crash_report report_of(time_point now, endpoint_life ended, const unconfirmed_loss& it) const;
+    crash_report report_of(time_point now, endpoint_id_hash ended, const unconfirmed_loss& it) const;
     bool answered_since(request_fingerprint it, time_point when) const;
     duration trial_delay(request_fingerprint it) const;
-    void record_end(time_point now, endpoint_life ended, const std::vector<cut_run>& running);
-    void record_end_under(time_point now, endpoint_life ended, const cut_run& of);
+    void record_end(time_point now, endpoint_id_hash ended, const std::vector<interrupted_request>& running);
+    void record_end_under(time_point now, endpoint_id_hash ended, const interrupted_request& of);
     void conclude_trial(time_point now, request_fingerprint it, bool has_reached);
     bool is_beyond_chance(time_point now, request_fingerprint it) const;
     /// Ends probably caused by other suspects, namely by those with an endpoint that ended during a trial.
-    std::set<endpoint_life> ends_by_others(request_fingerprint than) const;
-    bool other_suspect_was_at(request_fingerprint it, endpoint_life where) const;
+    std::set<endpoint_id_hash> ends_by_others(request_fingerprint than) const;
+    bool other_suspect_was_at(request_fingerprint it, endpoint_id_hash where) const;
     void schedule_trial(time_point now, request_fingerprint it, record& of);
     void remove_trial(request_fingerprint it, record& of);
     void on_trial_notice(time_point now, const trial_notice& it);
     void mark_harmful(time_point now, request_fingerprint it, bool is_own);
-    void attribute_to_harmful(endpoint_life by_harmful);
+    void attribute_to_harmful(endpoint_id_hash by_harmful);
     void clear(request_fingerprint it);
     /// Reports of the ends under a request that this instance saw itself.
     static std::vector<crash_report> own_reports(request_fingerprint it, const record& of);
@@ -242,14 +245,14 @@
     std::uint64_t own_hash_;
     hooks hooks_;
     std::map<request_fingerprint, record> records_;
-    std::map<endpoint_life, unconfirmed_loss> unconfirmed_losses_;
+    std::map<endpoint_id_hash, unconfirmed_loss> unconfirmed_losses_;
     std::optional<time_point> flush_at_;
     std::set<request_fingerprint> requests_on_trial_;    ///< requests whose record has an `active_trial`
     std::map<request_fingerprint, time_point> answered_; ///< time of the latest complete answer
     std::deque<request_fingerprint> answered_order_;
-    recent_set<endpoint_life> ended_;
+    recent_set<endpoint_id_hash> ended_;
     end_rate rate_;
-    recent_set<endpoint_life> ends_by_harmful_; ///< endpoints whose end is attributed to a harmful request
+    recent_set<endpoint_id_hash> ends_by_harmful_; ///< endpoints whose end is attributed to a harmful request
     std::vector<scheduled_resend> scheduled_resends_;
 };
 
--- a/include/runlink/crashes/crash_messages.hpp
+++ b/include/runlink/crashes/crash_messages.hpp
@@ -14,35 +14,35 @@
 {
 
 /// Hash of an endpoint id.
-using endpoint_life = core::strong_number<struct endpoint_life_tag>;
+using endpoint_id_hash = core::strong_number<struct endpoint_life_tag>;
 
-endpoint_life life_hash(const core::endpoint_id& id);
+endpoint_id_hash hash_of_endpoint_id(const core::endpoint_id& id);
 
 /// A request that was running on an endpoint when the endpoint ended.
-struct cut_run
+struct interrupted_request
 {
     request_fingerprint request;
-    core::milliseconds ran{}; ///< time since it was sent to the endpoint
+    core::milliseconds run_duration{}; ///< time since it was sent to the endpoint
 };
 
 /// An endpoint ended while it ran these requests of the reporting instance.
 struct crash_report
 {
-    endpoint_life endpoint;
-    std::vector<cut_run> running;
+    endpoint_id_hash endpoint;
+    std::vector<interrupted_request> running;
 };
 
 /// Announces that the sender runs a suspected request as a trial, or that the trial is over.
 struct trial_notice
 {
     request_fingerprint request;
-    endpoint_life endpoint;
+    endpoint_id_hash endpoint;
     bool is_over = false;    ///< it ended without a result
     bool has_reached = true; ///< its endpoint may have run the request
 };
 
 /// Whether a request makes endpoints end.
-enum class conduct
+enum class request_effect
 {
     harmless, ///< it got a complete answer
     harmful,  ///< it makes endpoints end
@@ -51,11 +51,11 @@
 struct request_finding
 {
     request_fingerprint request;
-    conduct what = conduct::harmless;
+    request_effect what = request_effect::harmless;
 };
 
 /// The content of one datagram.
-struct crash_news
+struct crash_message
 {
     std::vector<crash_report> reports;
     std::vector<trial_notice> trials;
--- a/include/runlink/crashes/end_rate.hpp
+++ b/include/runlink/crashes/end_rate.hpp
@@ -32,16 +32,17 @@
     /// Sets the current number of endpoints. The measurement starts with the first call.
     void watch(core::time_point now, std::size_t endpoints);
     /// An endpoint has ended.
-    void ended(core::time_point now, endpoint_life it);
+    void ended(core::time_point now, endpoint_id_hash it);
     /// Excludes the end of an endpoint whose cause is known from the rate of chance ends.
-    void exclude(endpoint_life it);
+    void exclude(endpoint_id_hash it);
     /// Time over which the rate has been measured, from 1 s to `window`.
     core::duration observation_time(core::time_point now) const;
     /// Probability that at least as many endpoints end by chance as ended while they ran one request.
     /// `ended_under_request`: these endpoints, and how long the request had run on each.
     /// `by_others`: ends probably caused by another request, which do not count as chance.
-    double chance_of(core::time_point now, const std::map<endpoint_life, core::duration>& ended_under_request,
-                     const std::set<endpoint_life>& by_others = {}) const;
+    double chance_of(core::time_point now,
+                     const std::map<endpoint_id_hash, core::duration>& ended_under_request,
+                     const std::set<endpoint_id_hash>& by_others = {}) const;
 
 private:
     end_rate_options options_;
@@ -50,7 +51,7 @@
     struct end
     {
         core::time_point at{};
-        endpoint_life endpoint;
+        endpoint_id_hash endpoint;
     };
     std::deque<end> ends_;
 };
--- a/include/runlink/gateway/gateway.hpp
+++ b/include/runlink/gateway/gateway.hpp
@@ -59,7 +59,7 @@
     std::function<void(const routing::session_run&)> on_session_ran = [](const auto&) {};
     std::function<void(const routing::prompt_sent&)> on_prompt_went = [](const auto&) {};
     std::function<void(const routing::prompt_answered&)> on_prompt_came = [](const auto&) {};
-    std::function<void(const crashes::crash_news&)> on_crash_seen = [](const auto&) {};
+    std::function<void(const crashes::crash_message&)> on_crash_seen = [](const auto&) {};
     /// What other instances are to know of limits that endpoints name; see `forwarder_hooks`.
     std::function<void(const std::vector<core::instance_id>&, const std::vector<places::limit_report>&)>
         on_limits_told = [](const auto&, const auto&) {};
--- a/include/runlink/gateway/gossip_link.hpp
+++ b/include/runlink/gateway/gossip_link.hpp
@@ -52,7 +52,7 @@
     void tell(const routing::prompt_sent& it);
     void tell(const routing::prompt_answered& it);
     /// At once: each copy that another instance sends meanwhile may cost an endpoint.
-    void tell(const crashes::crash_news& it) { send_to_all(it, false); }
+    void tell(const crashes::crash_message& it) { send_to_all(it, false); }
     /// At once: what an endpoint that leaves is sent may be cut.
     void tell(const routing::leaving_notices& it) { send_to_all(it, false); }
     /// At once: the others put off their own sends.
--- a/include/runlink/places/advertised_limits.hpp
+++ b/include/runlink/places/advertised_limits.hpp
@@ -113,10 +113,10 @@
     /// Marks the list of instances as complete.
     void settle(time_point now);
     /// An answer to a request that was sent at `asked_at` advertised this limit, or none.
-    limit_change answered(time_point now, const endpoint_id& id, std::optional<double> requests_per_s,
-                          time_point asked_at);
+    limit_change on_answer(time_point now, const endpoint_id& id, std::optional<double> requests_per_s,
+                           time_point asked_at);
     /// Handles another instance's report. The newest statement of the endpoint is valid.
-    limit_update told(time_point now, const core::instance_id& by, const limit_report& it);
+    limit_update on_report(time_point now, const core::instance_id& by, const limit_report& it);
     void sent(time_point now, const endpoint_id& id);
     /// Restarts the spacing of sends after the process was suspended or the set of instances changed. Sends
     /// that were missed are not made up for.
--- a/include/runlink/places/endpoint_bounds.hpp
+++ b/include/runlink/places/endpoint_bounds.hpp
@@ -55,7 +55,7 @@
     void sent(time_point now, const endpoint_id& id);
     /// Whether a request that was counted at `counted_at` but not yet written may still be sent. Counts it
     /// again if the endpoint has since advertised a limit or lowered it.
-    bool try_keep(time_point now, const endpoint_id& id, time_point counted_at);
+    bool confirm_send(time_point now, const endpoint_id& id, time_point counted_at);
     /// When this instance may next send to the endpoint.
     time_point next_send(time_point now, const endpoint_id& id) const;
     /// When any instance may next send to the endpoint, as far as this one knows.
--- a/include/runlink/places/endpoint_rests.hpp
+++ b/include/runlink/places/endpoint_rests.hpp
@@ -40,10 +40,10 @@
 
     /// The endpoint asked for a rest of this length. Returns whether a rest began, rather than one being in
     /// effect already.
-    bool asked(time_point now, const endpoint_id& id, duration rest);
+    bool on_rest_requested(time_point now, const endpoint_id& id, duration rest);
     void sent(time_point now, const endpoint_id& id);
     /// The endpoint accepted a request that was sent at `sent_at`.
-    void took(const endpoint_id& id, time_point sent_at);
+    void on_accepted(const endpoint_id& id, time_point sent_at);
 
     bool is_resting(time_point now, const endpoint_id& id) const;
     /// Whether the endpoint rests or has not accepted a request since its rest.
--- a/include/runlink/places/warm_up.hpp
+++ b/include/runlink/places/warm_up.hpp
@@ -40,7 +40,7 @@
     double rate_fraction = 0.9;
     /// An endpoint that could not be reached may have restarted, and so be cold, before its store entry says
     /// so. It counts as cold for this long after the last attempt, plus its cold time.
-    milliseconds news_delay{2500};
+    milliseconds store_entry_delay{2500};
 };
 
 /// Why an endpoint counts as cold.
--- a/include/runlink/proto/gossip_codec.hpp
+++ b/include/runlink/proto/gossip_codec.hpp
@@ -16,9 +16,9 @@
 {
 
 /// What one datagram holds; empty for bytes that are no message.
-using datagram =
-    std::variant<std::monostate, routing::gossip_message, control::sync_request, control::sync_reply,
-                 routing::load_digest, crashes::crash_news, places::limit_reports, routing::leaving_notices>;
+using datagram = std::variant<std::monostate, routing::gossip_message, control::sync_request,
+                              control::sync_reply, routing::load_digest, crashes::crash_message,
+                              places::limit_reports, routing::leaving_notices>;
 
 std::string encode(const datagram& it);
 datagram decode_datagram(std::string_view bytes);
--- a/include/runlink/routing/forwarder_hooks.hpp
+++ b/include/runlink/routing/forwarder_hooks.hpp
@@ -84,7 +84,7 @@
     /// Announces to other instances that an endpoint began to answer a prompt.
     std::function<void(const prompt_answered&)> prompt_came;
     /// Announces endpoint crashes to other instances.
-    std::function<void(const crashes::crash_news&)> crash_seen = [](const auto&) {};
+    std::function<void(const crashes::crash_message&)> crash_seen = [](const auto&) {};
     /// Announces rate limits stated by endpoints to the instances in `to`, or to all if `to` is empty.
     std::function<void(const std::vector<core::instance_id>& to, const std::vector<places::limit_report>&)>
         tell_limits = [](const auto&, const auto&) {};
--- a/include/runlink/routing/request_forwarder.hpp
+++ b/include/runlink/routing/request_forwarder.hpp
@@ -130,7 +130,7 @@
     }
 
     /// Another instance reports crashed endpoints.
-    void on_crash_news(time_point now, const crashes::crash_news& it);
+    void on_crash_news(time_point now, const crashes::crash_message& it);
     crashes::crash_attribution& attribution() { return attribution_; }
     const crashes::crash_attribution& attribution() const { return attribution_; }
 
@@ -294,7 +294,7 @@
     /// once to find out whether it has ended: then all its requests are cut, and one of them may be the
     /// cause.
     void report_broken(time_point now, const flow& it, const attempt& from, bool probes_endpoint);
-    void on_endpoint_ended(time_point now, crashes::endpoint_life it);
+    void on_endpoint_ended(time_point now, crashes::endpoint_id_hash it);
     void report_endpoint_ended(time_point now, const endpoint_id& id, std::string_view how);
     void log_attribution(time_point now, std::string_view event, crashes::request_fingerprint it,
                          std::string_view reason);
--- a/src/runlink/crashes/crash_attribution.cpp
+++ b/src/runlink/crashes/crash_attribution.cpp
@@ -9,9 +9,9 @@
 namespace runlink::crashes
 {
 
-endpoint_life life_hash(const core::endpoint_id& id)
+endpoint_id_hash hash_of_endpoint_id(const core::endpoint_id& id)
 {
-    return endpoint_life{core::stable_hash(id.str())};
+    return endpoint_id_hash{core::stable_hash(id.str())};
 }
 
 crash_attribution::crash_attribution(attribution_options options, std::uint64_t own_hash, hooks to)
@@ -50,7 +50,7 @@
 bool crash_attribution::has_active_trial(time_point now, const record& it) const
 {
     return it.active_trial &&
-           (it.active_trial->is_own || now - it.active_trial->last_notice_at < options_.trial_silence);
+           (it.active_trial->is_own || now - it.active_trial->last_notice_at < options_.trial_timeout);
 }
 
 std::size_t crash_attribution::count_unconfirmed_losses(request_fingerprint it) const
@@ -79,7 +79,7 @@
     return possible < options_.suspect_threshold ? permission::free : permission::waits;
 }
 
-suspicion crash_attribution::standing_of(time_point now, request_fingerprint it) const
+suspicion crash_attribution::suspicion_of(time_point now, request_fingerprint it) const
 {
     const auto* record = find(it);
     if (record == nullptr)
@@ -87,15 +87,15 @@
     return {record->ends.size(), now - record->latest_end_at, record->trials};
 }
 
-duration crash_attribution::refused_for(time_point now, request_fingerprint it) const
+duration crash_attribution::refusal_time_left(time_point now, request_fingerprint it) const
 {
     const auto* record = find(it);
     return record != nullptr && record->harmful_until ? *record->harmful_until - now : duration{};
 }
 
-std::set<endpoint_life> crash_attribution::on_trial(time_point now) const
+std::set<endpoint_id_hash> crash_attribution::endpoints_on_trial(time_point now) const
 {
-    std::set<endpoint_life> out;
+    std::set<endpoint_id_hash> out;
     for (const auto it : requests_on_trial_)
         if (const auto& record = records_.at(it); has_active_trial(now, record))
             out.insert(record.active_trial->endpoint);
@@ -104,7 +104,7 @@
 
 duration crash_attribution::trial_delay(request_fingerprint it) const
 {
-    const auto spread = static_cast<std::uint64_t>(duration{options_.turn_spread}.count());
+    const auto spread = static_cast<std::uint64_t>(duration{options_.max_trial_delay}.count());
     const auto mixed = core::stable_hash(to_hex(it), own_hash_);
     return duration{static_cast<duration::rep>(mixed % spread)};
 }
@@ -117,8 +117,8 @@
 
 // Ends of endpoints
 
-bool crash_attribution::on_broken(time_point now, request_fingerprint it, endpoint_life where,
-                                  time_point sent_at)
+bool crash_attribution::on_connection_broken(time_point now, request_fingerprint it, endpoint_id_hash where,
+                                             time_point sent_at)
 {
     if (ends_by_harmful_.contains(where))
         return false;
@@ -132,7 +132,7 @@
     return false;
 }
 
-void crash_attribution::on_not_ended(time_point now, endpoint_life where)
+void crash_attribution::on_end_not_confirmed(time_point now, endpoint_id_hash where)
 {
     if (const auto found = unconfirmed_losses_.find(where);
         found != unconfirmed_losses_.end() && !found->second.has_ended)
@@ -143,7 +143,7 @@
             trial->verdict_at = now;
 }
 
-void crash_attribution::on_ended(time_point now, endpoint_life where)
+void crash_attribution::on_ended(time_point now, endpoint_id_hash where)
 {
     if (ended_.insert(where))
     {
@@ -157,7 +157,7 @@
     flush_at_ = flush_at_.value_or(now + options_.report_batch_window);
 }
 
-crash_report crash_attribution::report_of(time_point now, endpoint_life ended,
+crash_report crash_attribution::report_of(time_point now, endpoint_id_hash ended,
                                           const unconfirmed_loss& it) const
 {
     crash_report out;
@@ -171,7 +171,7 @@
 void crash_attribution::flush_ends(time_point now)
 {
     flush_at_.reset();
-    crash_news news;
+    crash_message news;
     for (const auto& [endpoint, loss] : unconfirmed_losses_)
         if (loss.has_ended)
             news.reports.push_back(report_of(now, endpoint, loss));
@@ -181,7 +181,7 @@
     std::erase_if(news.reports, [](const auto& it) { return it.running.empty(); });
     if (news.empty())
         return;
-    hooks_.tell(news);
+    hooks_.broadcast(news);
     std::vector<crash_report> by_suspects;
     std::vector<crash_report> explained;
     for (const auto& it : news.reports)
@@ -210,7 +210,8 @@
     schedule_report_resends(now, explained);
 }
 
-void crash_attribution::record_end(time_point now, endpoint_life ended, const std::vector<cut_run>& running)
+void crash_attribution::record_end(time_point now, endpoint_id_hash ended,
+                                   const std::vector<interrupted_request>& running)
 {
     if (ends_by_harmful_.contains(ended))
         return;
@@ -222,12 +223,13 @@
         record_end_under(now, ended, it);
 }
 
-void crash_attribution::record_end_under(time_point now, endpoint_life ended, const cut_run& of)
+void crash_attribution::record_end_under(time_point now, endpoint_id_hash ended,
+                                         const interrupted_request& of)
 {
     const auto it = of.request;
     auto& record = at(now, it);
     const bool was_suspect = is_suspect(record);
-    record.ends.emplace(ended, of.ran);
+    record.ends.emplace(ended, of.run_duration);
     record.latest_end_at = now;
     auto& tried = record.active_trial;
     if (tried && tried->endpoint == ended)
@@ -237,9 +239,9 @@
         tried->has_ended = true;
         tried->verdict_at = now + options_.verdict_delay;
     }
-    if (!was_suspect && is_suspect(record) && answered_since(it, now - options_.answer_holds))
+    if (!was_suspect && is_suspect(record) && answered_since(it, now - options_.answer_validity))
     {
-        broadcast_finding(now, {it, conduct::harmless});
+        broadcast_finding(now, {it, request_effect::harmless});
         return clear(it);
     }
     if (!was_suspect && is_suspect(record))
@@ -248,7 +250,7 @@
         // Earlier reports may have been lost, and the instance that runs the next trial needs them to tell
         // ends under this request from chance ends.
         if (auto own = own_reports(it, record); !own.empty())
-            hooks_.tell({std::move(own), {}, {}});
+            hooks_.broadcast({std::move(own), {}, {}});
         hooks_.suspected(now, it);
     }
     evict_record();
@@ -258,8 +260,10 @@
 
 void crash_attribution::expire(time_point now)
 {
-    std::erase_if(unconfirmed_losses_, [&](const auto& it)
-                  { return !it.second.has_ended && now - it.second.at >= options_.explanation_time; });
+    std::erase_if(unconfirmed_losses_,
+                  [&](const auto& it) {
+                      return !it.second.has_ended && now - it.second.at >= options_.end_confirmation_timeout;
+                  });
     for (auto& [request, it] : records_)
     {
         if (!it.harmful_until || now < *it.harmful_until || it.is_recorded)
--- a/src/runlink/crashes/crash_attribution_trials.cpp
+++ b/src/runlink/crashes/crash_attribution_trials.cpp
@@ -11,16 +11,16 @@
 
 // Trials
 
-void crash_attribution::begin_trial(time_point now, request_fingerprint it, endpoint_life where)
+void crash_attribution::begin_trial(time_point now, request_fingerprint it, endpoint_id_hash where)
 {
     auto& record = at(now, it);
     ++record.trials;
     record.active_trial = trial{where, true, now, false, std::nullopt};
     requests_on_trial_.insert(it);
-    hooks_.tell({{}, {{it, where}}, {}});
+    hooks_.broadcast({{}, {{it, where}}, {}});
 }
 
-void crash_attribution::end_trial(time_point now, request_fingerprint it, endpoint_life where,
+void crash_attribution::end_trial(time_point now, request_fingerprint it, endpoint_id_hash where,
                                   bool has_reached)
 {
     auto* record = find(it);
@@ -30,14 +30,14 @@
     // The connection broke, and it is not yet known whether the endpoint has ended.
     if (unconfirmed_losses_.contains(where))
     {
-        record->active_trial->verdict_at = now + options_.explanation_time + options_.verdict_delay;
+        record->active_trial->verdict_at = now + options_.end_confirmation_timeout + options_.verdict_delay;
         return;
     }
     record->trials -= has_reached ? 0 : 1;
     conclude_trial(now, it, has_reached);
 }
 
-bool crash_attribution::may_hand_on(request_fingerprint it) const
+bool crash_attribution::may_repeat_trial(request_fingerprint it) const
 {
     const auto* record = find(it);
     if (record == nullptr || !record->active_trial)
@@ -58,7 +58,7 @@
     requests_on_trial_.erase(it);
 }
 
-bool crash_attribution::other_suspect_was_at(request_fingerprint it, endpoint_life where) const
+bool crash_attribution::other_suspect_was_at(request_fingerprint it, endpoint_id_hash where) const
 {
     const auto most_ends = records_.at(it).ends.size();
     return std::any_of(records_.begin(), records_.end(),
@@ -69,12 +69,12 @@
                        });
 }
 
-std::set<endpoint_life> crash_attribution::ends_by_others(request_fingerprint than) const
+std::set<endpoint_id_hash> crash_attribution::ends_by_others(request_fingerprint than) const
 {
-    std::set<endpoint_life> out;
+    std::set<endpoint_id_hash> out;
     for (const auto& [request, it] : records_)
         if (request != than && it.trial_end && it.ends.contains(*it.trial_end))
-            for (const auto& [where, ran] : it.ends)
+            for (const auto& [where, run_duration] : it.ends)
                 out.insert(where);
     return out;
 }
@@ -101,7 +101,7 @@
         return mark_harmful(now, it, true);
     remove_trial(it, record);
     schedule_trial(now, it, record);
-    hooks_.tell({{}, {{it, where, true, has_reached}}, {}});
+    hooks_.broadcast({{}, {{it, where, true, has_reached}}, {}});
 }
 
 // Findings
@@ -109,9 +109,9 @@
 std::vector<crash_report> crash_attribution::own_reports(request_fingerprint it, const record& of)
 {
     std::vector<crash_report> out;
-    for (const auto& [where, ran] : of.ends)
+    for (const auto& [where, run_duration] : of.ends)
         if (of.own_ends.contains(where))
-            out.push_back({where, {{it, std::chrono::ceil<milliseconds>(ran)}}});
+            out.push_back({where, {{it, std::chrono::ceil<milliseconds>(run_duration)}}});
     return out;
 }
 
@@ -123,23 +123,23 @@
     record.next_trial_at.reset();
     if (is_known)
         return;
-    record.harmful_until = now + options_.harmful_for;
+    record.harmful_until = now + options_.refusal_time;
     record.latest_end_at = now;
     const auto ends = record.ends;
     const auto explained = own_reports(it, record);
     if (is_own)
-        broadcast_finding(now, {it, conduct::harmful});
-    for (const auto& [where, ran] : ends)
+        broadcast_finding(now, {it, request_effect::harmful});
+    for (const auto& [where, run_duration] : ends)
         attribute_to_harmful(where);
     if (!explained.empty())
     {
-        hooks_.tell({explained, {}, {}});
+        hooks_.broadcast({explained, {}, {}});
         schedule_report_resends(now, explained);
     }
-    hooks_.condemned(now, it, is_own);
+    hooks_.marked_harmful(now, it, is_own);
 }
 
-void crash_attribution::attribute_to_harmful(endpoint_life by_harmful)
+void crash_attribution::attribute_to_harmful(endpoint_id_hash by_harmful)
 {
     if (!ends_by_harmful_.insert(by_harmful))
         return;
@@ -163,7 +163,7 @@
     if (record == nullptr || record->harmful_until)
         return;
     if (is_suspect(*record))
-        broadcast_finding(now, {it, conduct::harmless});
+        broadcast_finding(now, {it, request_effect::harmless});
     clear(it);
 }
 
@@ -178,7 +178,7 @@
 
 void crash_attribution::broadcast_finding(time_point now, const request_finding& it)
 {
-    hooks_.tell({{}, {}, {it}});
+    hooks_.broadcast({{}, {}, {it}});
     for (const auto after : options_.resend_delays)
         scheduled_resends_.push_back({now + after, {{}, {}, {it}}});
 }
@@ -194,7 +194,7 @@
         scheduled_resends_.push_back({now + after, {all, {}, {}}});
 }
 
-void crash_attribution::on_news(time_point now, const crash_news& it)
+void crash_attribution::on_message(time_point now, const crash_message& it)
 {
     for (const auto& e : it.reports)
     {
@@ -204,7 +204,7 @@
     for (const auto& e : it.trials)
         on_trial_notice(now, e);
     for (const auto& e : it.findings)
-        if (e.what == conduct::harmful)
+        if (e.what == request_effect::harmful)
             mark_harmful(now, e.request, false);
         else
             clear(e.request);
@@ -269,12 +269,12 @@
         else if (now - it.active_trial->last_notice_at >= options_.trial_interval)
         {
             it.active_trial->last_notice_at = now;
-            hooks_.tell({{}, {{request, it.active_trial->endpoint}}, {}});
+            hooks_.broadcast({{}, {{request, it.active_trial->endpoint}}, {}});
         }
     }
     for (const auto it : due)
         conclude_trial(now, it, true);
-    crash_news again;
+    crash_message again;
     for (const auto& it : scheduled_resends_)
     {
         if (now < it.at)
@@ -284,7 +284,7 @@
     }
     std::erase_if(scheduled_resends_, [&](const auto& it) { return now >= it.at; });
     if (!again.empty())
-        hooks_.tell(again);
+        hooks_.broadcast(again);
 }
 
 std::optional<time_point> crash_attribution::next_due() const
--- a/src/runlink/crashes/crashes_test.cpp
+++ b/src/runlink/crashes/crashes_test.cpp
@@ -20,9 +20,9 @@
 struct observer
 {
     time_point now{core::seconds{1000}};
-    std::vector<crash_news> sent_messages;
+    std::vector<crash_message> sent_messages;
     std::vector<request_fingerprint> suspected;
-    std::vector<request_fingerprint> condemned;
+    std::vector<request_fingerprint> marked_harmful;
     crash_attribution attribution;
 
     explicit observer(attribution_options options = {}, std::uint64_t self = 1)
@@ -35,9 +35,9 @@
     crash_attribution::hooks make_hooks()
     {
         crash_attribution::hooks out;
-        out.tell = [this](const crash_news& e) { sent_messages.push_back(e); };
+        out.broadcast = [this](const crash_message& e) { sent_messages.push_back(e); };
         out.suspected = [this](time_point, request_fingerprint e) { suspected.push_back(e); };
-        out.condemned = [this](time_point, request_fingerprint e, bool) { condemned.push_back(e); };
+        out.marked_harmful = [this](time_point, request_fingerprint e, bool) { marked_harmful.push_back(e); };
         return out;
     }
 
@@ -54,17 +54,17 @@
         const auto sent_at = now;
         pass(run_time);
         for (const auto e : running)
-            attribution.on_broken(now, e, endpoint_life{endpoint}, sent_at);
-        attribution.on_ended(now, endpoint_life{endpoint});
+            attribution.on_connection_broken(now, e, endpoint_id_hash{endpoint}, sent_at);
+        attribution.on_ended(now, endpoint_id_hash{endpoint});
         pass(attribution.options().report_batch_window + milliseconds{10});
     }
 
     /// Runs the request as a trial on an endpoint, which then ends.
     void try_and_end(request_fingerprint e, std::uint64_t endpoint)
     {
-        pass(attribution.options().turn_spread);
+        pass(attribution.options().max_trial_delay);
         REQUIRE(attribution.judge(now, e) == permission::alone);
-        attribution.begin_trial(now, e, endpoint_life{endpoint});
+        attribution.begin_trial(now, e, endpoint_id_hash{endpoint});
         end(endpoint, {e});
         pass(attribution.options().verdict_delay + milliseconds{10});
     }
@@ -80,10 +80,10 @@
     instance.end(2, {harmful_request});
     CHECK(instance.suspected == std::vector{harmful_request});
     instance.try_and_end(harmful_request, 3);
-    CHECK(instance.condemned == std::vector{harmful_request});
+    CHECK(instance.marked_harmful == std::vector{harmful_request});
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::refused);
     CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
-    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends ==
+    CHECK(instance.attribution.suspicion_of(instance.now, harmless_request).ends ==
           0); // the end is attributed to the harmful request
 }
 
@@ -92,17 +92,17 @@
     observer instance;
     instance.end(1, {harmful_request});
     instance.end(2, {harmful_request});
-    instance.pass(instance.attribution.options().turn_spread);
-    instance.attribution.begin_trial(instance.now, harmful_request, endpoint_life{3});
+    instance.pass(instance.attribution.options().max_trial_delay);
+    instance.attribution.begin_trial(instance.now, harmful_request, endpoint_id_hash{3});
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::waits);
-    CHECK(instance.attribution.on_trial(instance.now) == std::set{endpoint_life{3}});
+    CHECK(instance.attribution.endpoints_on_trial(instance.now) == std::set{endpoint_id_hash{3}});
 
     observer other{{}, 2};
     for (const auto& e : instance.sent_messages)
-        other.attribution.on_news(other.now, e);
+        other.attribution.on_message(other.now, e);
     CHECK(other.attribution.judge(other.now, harmful_request) == permission::waits);
-    CHECK(other.attribution.on_trial(other.now) == std::set{endpoint_life{3}});
-    other.pass(other.attribution.options().trial_silence + milliseconds{500});
+    CHECK(other.attribution.endpoints_on_trial(other.now) == std::set{endpoint_id_hash{3}});
+    other.pass(other.attribution.options().trial_timeout + milliseconds{500});
     CHECK(other.attribution.judge(other.now, harmful_request) ==
           permission::alone); // the instance that ran the trial is lost
 }
@@ -116,7 +116,7 @@
     instance.attribution.on_answered(instance.now, harmless_request);
     CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
     for (const auto& e : instance.sent_messages)
-        other.attribution.on_news(other.now, e);
+        other.attribution.on_message(other.now, e);
     CHECK(other.attribution.judge(other.now, harmless_request) == permission::free);
 }
 
@@ -126,10 +126,10 @@
     const auto sent_at = instance.now;
     instance.attribution.on_answered(instance.now + milliseconds{5}, harmless_request);
     instance.pass(run_time);
-    instance.attribution.on_broken(instance.now, harmless_request, endpoint_life{1}, sent_at);
-    instance.attribution.on_ended(instance.now, endpoint_life{1});
+    instance.attribution.on_connection_broken(instance.now, harmless_request, endpoint_id_hash{1}, sent_at);
+    instance.attribution.on_ended(instance.now, endpoint_id_hash{1});
     instance.pass(milliseconds{50});
-    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 0);
+    CHECK(instance.attribution.suspicion_of(instance.now, harmless_request).ends == 0);
     CHECK(instance.sent_messages.empty());
 }
 
@@ -138,8 +138,9 @@
     observer instance;
     for (std::uint64_t n = 1; n <= 4; ++n)
     {
-        instance.attribution.on_broken(instance.now, harmless_request, endpoint_life{n}, instance.now);
-        instance.attribution.on_not_ended(instance.now, endpoint_life{n});
+        instance.attribution.on_connection_broken(instance.now, harmless_request, endpoint_id_hash{n},
+                                                  instance.now);
+        instance.attribution.on_end_not_confirmed(instance.now, endpoint_id_hash{n});
     }
     CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
@@ -148,9 +149,10 @@
 {
     observer instance;
     instance.end(1, {harmful_request});
-    instance.attribution.on_broken(instance.now, harmful_request, endpoint_life{2}, instance.now);
+    instance.attribution.on_connection_broken(instance.now, harmful_request, endpoint_id_hash{2},
+                                              instance.now);
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::waits);
-    instance.attribution.on_not_ended(instance.now, endpoint_life{2});
+    instance.attribution.on_end_not_confirmed(instance.now, endpoint_id_hash{2});
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::free);
 }
 
@@ -161,8 +163,9 @@
     instance.pass(run_time);
     for (std::uint64_t n = 0; n <= instance.attribution.options().max_simultaneous_ends; ++n)
     {
-        instance.attribution.on_broken(instance.now, harmless_request, endpoint_life{n}, sent_at);
-        instance.attribution.on_ended(instance.now, endpoint_life{n});
+        instance.attribution.on_connection_broken(instance.now, harmless_request, endpoint_id_hash{n},
+                                                  sent_at);
+        instance.attribution.on_ended(instance.now, endpoint_id_hash{n});
     }
     instance.pass(milliseconds{50});
     CHECK(instance.sent_messages.empty());
@@ -173,9 +176,9 @@
 {
     observer instance;
     for (int n = 0; n < 3; ++n)
-        instance.attribution.on_news(instance.now,
-                                     {{{endpoint_life{1}, {{harmful_request, run_time}}}}, {}, {}});
-    CHECK(instance.attribution.standing_of(instance.now, harmful_request).ends == 1);
+        instance.attribution.on_message(instance.now,
+                                        {{{endpoint_id_hash{1}, {{harmful_request, run_time}}}}, {}, {}});
+    CHECK(instance.attribution.suspicion_of(instance.now, harmful_request).ends == 1);
 }
 
 TEST_CASE("two suspects at one endpoint are not told apart there")
@@ -183,14 +186,14 @@
     observer instance;
     for (std::uint64_t n = 1; n <= 2; ++n)
         instance.end(n, {harmful_request, harmless_request});
-    instance.pass(instance.attribution.options().turn_spread);
-    instance.attribution.begin_trial(instance.now, harmless_request, endpoint_life{3});
+    instance.pass(instance.attribution.options().max_trial_delay);
+    instance.attribution.begin_trial(instance.now, harmless_request, endpoint_id_hash{3});
     instance.end(3,
                  {harmful_request, harmless_request}); // a copy of the harmful request was already sent there
     instance.pass(instance.attribution.options().verdict_delay + milliseconds{10});
-    CHECK(instance.condemned.empty());
+    CHECK(instance.marked_harmful.empty());
     instance.try_and_end(harmful_request, 4);
-    CHECK(instance.condemned == std::vector{harmful_request});
+    CHECK(instance.marked_harmful == std::vector{harmful_request});
     instance.attribution.on_answered(instance.now, harmless_request);
     CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
@@ -200,14 +203,14 @@
     observer instance;
     for (std::uint64_t n = 100; n < 120; ++n)
     {
-        instance.attribution.on_news(instance.now, {{{endpoint_life{n}, {}}}, {}, {}});
+        instance.attribution.on_message(instance.now, {{{endpoint_id_hash{n}, {}}}, {}, {}});
         instance.pass(milliseconds{100});
     }
     for (std::uint64_t n = 1; n <= 2; ++n)
-        instance.attribution.on_news(
-            instance.now, {{{endpoint_life{n}, {{harmless_request, milliseconds{3000}}}}}, {}, {}});
+        instance.attribution.on_message(
+            instance.now, {{{endpoint_id_hash{n}, {{harmless_request, milliseconds{3000}}}}}, {}, {}});
     instance.try_and_end(harmless_request, 3);
-    CHECK(instance.condemned.empty());
+    CHECK(instance.marked_harmful.empty());
 }
 
 TEST_CASE("among many requests, one that is cut three times where endpoints end now and then is no culprit")
@@ -220,14 +223,14 @@
     for (std::uint64_t n = 0; n < requests; ++n)
     {
         if (n % 80 == 0)
-            instance.attribution.on_news(instance.now, {{{endpoint_life{100 + n}, {}}}, {}, {}});
+            instance.attribution.on_message(instance.now, {{{endpoint_id_hash{100 + n}, {}}}, {}, {}});
         instance.attribution.on_answered(instance.now, request_fingerprint{1000 + n});
         instance.pass(milliseconds{50});
     }
     for (std::uint64_t n = 1; n <= 2; ++n)
         instance.end(n, {harmless_request});
     instance.try_and_end(harmless_request, 3);
-    CHECK(instance.condemned.empty());
+    CHECK(instance.marked_harmful.empty());
 }
 
 TEST_CASE("where no other endpoint ends, three ends convict among many requests")
@@ -242,7 +245,7 @@
     for (std::uint64_t n = 1; n <= 2; ++n)
         instance.end(n, {harmful_request});
     instance.try_and_end(harmful_request, 3);
-    CHECK(instance.condemned == std::vector{harmful_request});
+    CHECK(instance.marked_harmful == std::vector{harmful_request});
 }
 
 TEST_CASE("ends that another suspect has probably caused hide no harmful request")
@@ -252,12 +255,12 @@
     for (std::uint64_t n = 1; n <= 2; ++n)
         instance.end(n, {harmful_request});
     for (std::uint64_t n = 11; n <= 14; ++n)
-        instance.attribution.on_news(instance.now, {{{endpoint_life{n}, {{other, run_time}}}}, {}, {}});
-    instance.attribution.on_news(
-        instance.now, {{}, {{other, endpoint_life{15}}}, {}}); // another instance runs a trial of it
-    instance.attribution.on_news(instance.now, {{{endpoint_life{15}, {{other, run_time}}}}, {}, {}});
+        instance.attribution.on_message(instance.now, {{{endpoint_id_hash{n}, {{other, run_time}}}}, {}, {}});
+    instance.attribution.on_message(
+        instance.now, {{}, {{other, endpoint_id_hash{15}}}, {}}); // another instance runs a trial of it
+    instance.attribution.on_message(instance.now, {{{endpoint_id_hash{15}, {{other, run_time}}}}, {}, {}});
     instance.try_and_end(harmful_request, 3);
-    CHECK(instance.condemned == std::vector{harmful_request});
+    CHECK(instance.marked_harmful == std::vector{harmful_request});
 }
 
 TEST_CASE("trials without a finding come to an end")
@@ -267,10 +270,10 @@
     instance.end(2, {harmful_request});
     for (std::uint32_t n = 0; n < instance.attribution.options().max_trials; ++n)
     {
-        instance.pass(instance.attribution.options().turn_spread);
+        instance.pass(instance.attribution.options().max_trial_delay);
         REQUIRE(instance.attribution.judge(instance.now, harmful_request) == permission::alone);
-        instance.attribution.begin_trial(instance.now, harmful_request, endpoint_life{10 + n});
-        instance.attribution.end_trial(instance.now, harmful_request, endpoint_life{10 + n}, true);
+        instance.attribution.begin_trial(instance.now, harmful_request, endpoint_id_hash{10 + n});
+        instance.attribution.end_trial(instance.now, harmful_request, endpoint_id_hash{10 + n}, true);
     }
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::refused);
 }
@@ -280,7 +283,7 @@
     observer instance;
     instance.attribution.on_recorded(instance.now, harmful_request);
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::refused);
-    instance.now += instance.attribution.options().harmful_for;
+    instance.now += instance.attribution.options().refusal_time;
     CHECK(instance.attribution.take_expired(instance.now) == std::vector{harmful_request});
     instance.attribution.expire(instance.now);
     CHECK(instance.attribution.judge(instance.now, harmful_request) == permission::alone);
@@ -312,7 +315,7 @@
     instance.end(1, {harmless_request});
     instance.end(2, {harmless_request});
     instance.attribution.on_recorded(instance.now, harmful_request);
-    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 2);
+    CHECK(instance.attribution.suspicion_of(instance.now, harmless_request).ends == 2);
 
     witness.attribution.on_recorded(witness.now, harmful_request);
     SECTION("at once") {}
@@ -322,8 +325,8 @@
         witness.pass(witness.attribution.options().verdict_delay);
     }
     for (const auto& e : witness.sent_messages)
-        instance.attribution.on_news(instance.now, e);
-    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 1);
+        instance.attribution.on_message(instance.now, e);
+    CHECK(instance.attribution.suspicion_of(instance.now, harmless_request).ends == 1);
     CHECK(instance.attribution.judge(instance.now, harmless_request) == permission::free);
 }
 
@@ -338,10 +341,10 @@
     observer instance{{}, 2};
     instance.attribution.on_recorded(instance.now, harmful_request);
     instance.end(1, {harmless_request});
-    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 1);
+    CHECK(instance.attribution.suspicion_of(instance.now, harmless_request).ends == 1);
     for (const auto& e : witness.sent_messages)
-        instance.attribution.on_news(instance.now, e);
-    CHECK(instance.attribution.standing_of(instance.now, harmless_request).ends == 0);
+        instance.attribution.on_message(instance.now, e);
+    CHECK(instance.attribution.suspicion_of(instance.now, harmless_request).ends == 0);
 }
 
 TEST_CASE("ends under a suspect are told again, since who tries it judges by them")
@@ -352,21 +355,21 @@
     {
         witness.end(1, {harmful_request});
         witness.sent_messages.clear(); // lost
-        witness.attribution.on_news(witness.now,
-                                    {{{endpoint_life{2}, {{harmful_request, run_time}}}}, {}, {}});
+        witness.attribution.on_message(witness.now,
+                                       {{{endpoint_id_hash{2}, {{harmful_request, run_time}}}}, {}, {}});
     }
     SECTION("those of later, before a verdict that waits for it")
     {
         for (std::uint64_t n = 2; n <= 3; ++n)
-            witness.attribution.on_news(witness.now,
-                                        {{{endpoint_life{n}, {{harmful_request, run_time}}}}, {}, {}});
+            witness.attribution.on_message(witness.now,
+                                           {{{endpoint_id_hash{n}, {{harmful_request, run_time}}}}, {}, {}});
         witness.end(1, {harmful_request});
         witness.sent_messages.clear();
         witness.pass(witness.attribution.options().verdict_delay);
     }
     for (const auto& e : witness.sent_messages)
-        instance.attribution.on_news(instance.now, e);
-    CHECK(instance.attribution.standing_of(instance.now, harmful_request).ends == 1);
+        instance.attribution.on_message(instance.now, e);
+    CHECK(instance.attribution.suspicion_of(instance.now, harmful_request).ends == 1);
 }
 
 TEST_CASE("an account that fills the memory loses its own records")
@@ -381,7 +384,7 @@
     for (std::uint64_t n = 0; n < 50; ++n)
         instance.end(100 + n, {fingerprint_of(content_hash{n}, attacker)});
     CHECK(instance.attribution.size() <= options.max_tracked_requests);
-    CHECK(instance.attribution.standing_of(instance.now, kept).ends == 1);
+    CHECK(instance.attribution.suspicion_of(instance.now, kept).ends == 1);
 }
 
 TEST_CASE("a fingerprint names content and account, and reads back from its text")
--- a/src/runlink/crashes/end_rate.cpp
+++ b/src/runlink/crashes/end_rate.cpp
@@ -41,14 +41,14 @@
 
 } // namespace
 
-void end_rate::ended(core::time_point now, endpoint_life it)
+void end_rate::ended(core::time_point now, endpoint_id_hash it)
 {
     while (!ends_.empty() && now - ends_.front().at > options_.window)
         ends_.pop_front();
     ends_.push_back({now, it});
 }
 
-void end_rate::exclude(endpoint_life it)
+void end_rate::exclude(endpoint_id_hash it)
 {
     std::erase_if(ends_, [&](const end& e) { return e.endpoint == it; });
 }
@@ -66,8 +66,8 @@
 }
 
 double end_rate::chance_of(core::time_point now,
-                           const std::map<endpoint_life, core::duration>& ended_under_request,
-                           const std::set<endpoint_life>& by_others) const
+                           const std::map<endpoint_id_hash, core::duration>& ended_under_request,
+                           const std::set<endpoint_id_hash>& by_others) const
 {
     // Leaves out the ends under the request itself, which would raise the rate and so hide a harmful request.
     const auto others_ended = std::count_if(ends_.begin(), ends_.end(),
@@ -79,8 +79,8 @@
                                             });
     const auto observed_endpoint_s = static_cast<double>(endpoints_) * seconds_of(observation_time(now));
     core::duration at_endpoints{};
-    for (const auto& [endpoint, ran] : ended_under_request)
-        at_endpoints += ran;
+    for (const auto& [endpoint, run_duration] : ended_under_request)
+        at_endpoints += run_duration;
     const auto request_endpoint_s = seconds_of(at_endpoints);
     const auto n = ended_under_request.size();
     const auto min_chance = tail_of_poisson(request_endpoint_s / seconds_of(options_.max_mean_lifetime), n);
--- a/src/runlink/gateway/gateway.cpp
+++ b/src/runlink/gateway/gateway.cpp
@@ -65,7 +65,7 @@
     out.session_ran = [this](const routing::session_run& it) { on_session_ran(it); };
     out.prompt_went = [this](const routing::prompt_sent& it) { on_prompt_went(it); };
     out.prompt_came = [this](const routing::prompt_answered& it) { on_prompt_came(it); };
-    out.crash_seen = [this](const crashes::crash_news& it) { on_crash_seen(it); };
+    out.crash_seen = [this](const crashes::crash_message& it) { on_crash_seen(it); };
     out.tell_limits = [this](const std::vector<core::instance_id>& to,
                              const std::vector<places::limit_report>& it) { on_limits_told(to, it); };
     out.tell_leaving = [this](const routing::leaving_notices& it) { on_leaving_told(it); };
--- a/src/runlink/gateway/gateway_daemon.cpp
+++ b/src/runlink/gateway/gateway_daemon.cpp
@@ -65,7 +65,7 @@
     edge_.on_session_ran = [this](const routing::session_run& it) { gossip_.tell(it); };
     edge_.on_prompt_went = [this](const routing::prompt_sent& it) { gossip_.tell(it); };
     edge_.on_prompt_came = [this](const routing::prompt_answered& it) { gossip_.tell(it); };
-    edge_.on_crash_seen = [this](const crashes::crash_news& it) { gossip_.tell(it); };
+    edge_.on_crash_seen = [this](const crashes::crash_message& it) { gossip_.tell(it); };
     edge_.on_limits_told =
         [this](const std::vector<core::instance_id>& to, const std::vector<places::limit_report>& it)
     {
--- a/src/runlink/gateway/gateway_daemon_peers.cpp
+++ b/src/runlink/gateway/gateway_daemon_peers.cpp
@@ -152,7 +152,7 @@
         on_sync_request(now, *request);
     else if (const auto* load = std::get_if<routing::load_digest>(&it))
         on_load_digest(now, *load);
-    else if (const auto* crashes = std::get_if<crashes::crash_news>(&it))
+    else if (const auto* crashes = std::get_if<crashes::crash_message>(&it))
         forwarder_.on_crash_news(now, *crashes);
     else if (const auto* leaving = std::get_if<routing::leaving_notices>(&it))
         forwarder_.on_leaving_told(now, *leaving);
--- a/src/runlink/places/advertised_limits.cpp
+++ b/src/runlink/places/advertised_limits.cpp
@@ -56,8 +56,8 @@
 
 // Statements
 
-limit_change advertised_limits::answered(time_point now, const endpoint_id& id,
-                                         std::optional<double> requests_per_s, time_point asked_at)
+limit_change advertised_limits::on_answer(time_point now, const endpoint_id& id,
+                                          std::optional<double> requests_per_s, time_point asked_at)
 {
     const auto found = records_.find(id);
     if (found == records_.end() && !requests_per_s)
@@ -75,7 +75,7 @@
     return out;
 }
 
-limit_update advertised_limits::told(time_point now, const core::instance_id& by, const limit_report& it)
+limit_update advertised_limits::on_report(time_point now, const core::instance_id& by, const limit_report& it)
 {
     const auto found = records_.find(it.endpoint);
     if (found == records_.end() && !it.requests_per_s)
--- a/src/runlink/places/advertised_limits_test.cpp
+++ b/src/runlink/places/advertised_limits_test.cpp
@@ -65,7 +65,7 @@
                     views.put(instance(other), {});
             auto& it = all_.emplace_back(options, instance(n), views);
             it.settle(start);
-            it.answered(start, endpoint(), of.limit, start);
+            it.on_answer(start, endpoint(), of.limit, start);
         }
     }
 
@@ -160,7 +160,7 @@
         {
             const auto it = queue_.front();
             queue_.pop_front();
-            at(it.to).told(now_, instance(it.from), it.what);
+            at(it.to).on_report(now_, instance(it.from), it.what);
         }
     }
 
@@ -295,13 +295,13 @@
     sender_set view{instance(0)};
     advertised_limits it{{}, instance(0), view};
     it.settle(start);
-    CHECK(it.answered(start, endpoint(), 2.0, start - milliseconds{50}) == limit_change::named);
+    CHECK(it.on_answer(start, endpoint(), 2.0, start - milliseconds{50}) == limit_change::named);
     const auto later = start + milliseconds{100};
-    CHECK(it.answered(later, endpoint(), std::nullopt, start - milliseconds{10}) == limit_change::none);
-    CHECK(it.answered(later, endpoint(), 3.0, start - milliseconds{10}) == limit_change::none);
+    CHECK(it.on_answer(later, endpoint(), std::nullopt, start - milliseconds{10}) == limit_change::none);
+    CHECK(it.on_answer(later, endpoint(), 3.0, start - milliseconds{10}) == limit_change::none);
     CHECK(it.limit_of(endpoint()) == 2.0);
-    CHECK(it.answered(later, endpoint(), 0.5, start - milliseconds{10}) == limit_change::lowered);
-    CHECK(it.answered(later + milliseconds{50}, endpoint(), std::nullopt, later) == limit_change::ended);
+    CHECK(it.on_answer(later, endpoint(), 0.5, start - milliseconds{10}) == limit_change::lowered);
+    CHECK(it.on_answer(later + milliseconds{50}, endpoint(), std::nullopt, later) == limit_change::ended);
     CHECK_FALSE(it.limit_of(endpoint()));
     CHECK(it.may_send(later + milliseconds{50}, endpoint()));
     const auto due = it.take_due(later + milliseconds{50});
@@ -316,19 +316,20 @@
     view.put(instance(1), {});
     advertised_limits it{{}, instance(0), view};
     it.settle(start);
-    CHECK(it.told(start, instance(1), {endpoint(), 2.0, milliseconds{500}, 0}).change == limit_change::named);
-    CHECK(it.told(start, instance(1), {endpoint(), std::nullopt, milliseconds{800}, 0}).change ==
+    CHECK(it.on_report(start, instance(1), {endpoint(), 2.0, milliseconds{500}, 0}).change ==
+          limit_change::named);
+    CHECK(it.on_report(start, instance(1), {endpoint(), std::nullopt, milliseconds{800}, 0}).change ==
           limit_change::none);
     CHECK(it.limit_of(endpoint()) == 2.0);
-    CHECK(it.told(start, instance(1), {endpoint(), std::nullopt, milliseconds{100}, 0}).change ==
+    CHECK(it.on_report(start, instance(1), {endpoint(), std::nullopt, milliseconds{100}, 0}).change ==
           limit_change::ended);
-    CHECK(it.told(start, instance(1), {endpoint(2), std::nullopt, milliseconds{0}, 0}).change ==
+    CHECK(it.on_report(start, instance(1), {endpoint(2), std::nullopt, milliseconds{0}, 0}).change ==
           limit_change::none);
     CHECK(it.size() == 1);
     it.forget_if(start + core::seconds{11}, [](const endpoint_id&) { return false; });
     CHECK(it.size() == 0);
     // The store entry of an endpoint may come back after an outage of the store.
-    it.answered(start, endpoint(), 2.0, start);
+    it.on_answer(start, endpoint(), 2.0, start);
     it.forget_if(start + core::seconds{599}, [](const endpoint_id&) { return true; });
     CHECK(it.limit_of(endpoint()) == 2.0);
     it.forget_if(start + core::seconds{600}, [](const endpoint_id&) { return true; });
@@ -340,9 +341,9 @@
     sender_set view{instance(0)};
     view.put(instance(1), {});
     advertised_limits it{{}, instance(0), view};
-    it.told(start, instance(1), {endpoint(), 2.0, milliseconds{0}, 0});
+    it.on_report(start, instance(1), {endpoint(), 2.0, milliseconds{0}, 0});
     CHECK(it.take_due(start).to_all.empty());
-    it.answered(start + milliseconds{1}, endpoint(2), 1e300, start);
+    it.on_answer(start + milliseconds{1}, endpoint(2), 1e300, start);
     CHECK(it.take_due(start + milliseconds{1}).to_all == std::vector{endpoint(2)});
     CHECK(it.sender_count(endpoint(2)) == 2);
 }
@@ -356,7 +357,7 @@
     it.settle(start);
     for (int n = 0; n < 65; ++n)
     {
-        it.answered(start, endpoint(n), 2, start);
+        it.on_answer(start, endpoint(n), 2, start);
         if (it.is_sender(endpoint(n)))
             CHECK(it.next_send_of_any(start, endpoint(n)) == it.next_send(start, endpoint(n)));
         else
@@ -370,12 +371,12 @@
     advertised_limits it{{}, instance(0), view};
     it.settle(start);
     CHECK(it.is_counted(endpoint(), start));
-    it.answered(start, endpoint(), 10.0, start);
+    it.on_answer(start, endpoint(), 10.0, start);
     CHECK_FALSE(it.is_counted(endpoint(), start - milliseconds{1}));
     CHECK(it.is_counted(endpoint(), start + milliseconds{1}));
-    it.answered(start + milliseconds{5}, endpoint(), 4.0, start);
+    it.on_answer(start + milliseconds{5}, endpoint(), 4.0, start);
     CHECK_FALSE(it.is_counted(endpoint(), start + milliseconds{1}));
-    it.answered(start + milliseconds{9}, endpoint(), 8.0, start + milliseconds{6});
+    it.on_answer(start + milliseconds{9}, endpoint(), 8.0, start + milliseconds{6});
     CHECK(it.is_counted(endpoint(), start + milliseconds{6}));
 }
 
@@ -421,7 +422,7 @@
     {
         advertised_limits it{{}, instance(0), view};
         it.settle(start);
-        it.answered(start, endpoint(n), 0, start);
+        it.on_answer(start, endpoint(n), 0, start);
         if (it.is_sender(endpoint(n)))
             continue;
         ++others;
--- a/src/runlink/places/endpoint_bounds.cpp
+++ b/src/runlink/places/endpoint_bounds.cpp
@@ -36,7 +36,7 @@
     rests_.sent(now, id);
 }
 
-bool endpoint_bounds::try_keep(time_point now, const endpoint_id& id, time_point counted_at)
+bool endpoint_bounds::confirm_send(time_point now, const endpoint_id& id, time_point counted_at)
 {
     if (rests_.is_resting(now, id))
         return false;
--- a/src/runlink/places/endpoint_rests.cpp
+++ b/src/runlink/places/endpoint_rests.cpp
@@ -7,7 +7,7 @@
 namespace runlink::places
 {
 
-bool endpoint_rests::asked(time_point now, const endpoint_id& id, duration rest)
+bool endpoint_rests::on_rest_requested(time_point now, const endpoint_id& id, duration rest)
 {
     if (rest <= duration{})
         return false;
@@ -26,7 +26,7 @@
         found->second.next_send = std::max(found->second.next_send, now + interval());
 }
 
-void endpoint_rests::took(const endpoint_id& id, time_point sent_at)
+void endpoint_rests::on_accepted(const endpoint_id& id, time_point sent_at)
 {
     // The answer to a request that was sent before the rest was over does not show that it is over.
     const auto found = records_.find(id);
--- a/src/runlink/places/warm_up.cpp
+++ b/src/runlink/places/warm_up.cpp
@@ -73,7 +73,7 @@
     if (limit == nullptr)
         return false;
     const bool was_cold = is_cold(now, id);
-    const auto delay = why == cold_reason::unreachable ? options_.news_delay : milliseconds{0};
+    const auto delay = why == cold_reason::unreachable ? options_.store_entry_delay : milliseconds{0};
     auto& it = begin(now, id, *limit);
     it.assumed_cold_until = std::max(it.assumed_cold_until, now + delay + limit->cold_time);
     return !was_cold;
--- a/src/runlink/routing/harmful_request_test.cpp
+++ b/src/runlink/routing/harmful_request_test.cpp
@@ -132,7 +132,7 @@
     fixture.run_and_end();
     REQUIRE(fixture.starts.size() == 2);
     const auto second = fixture.starts.back().endpoint.id;
-    fixture.forwarder.on_crash_news(fixture.now, {{{crashes::life_hash(second), {}}}, {}, {}});
+    fixture.forwarder.on_crash_news(fixture.now, {{{crashes::hash_of_endpoint_id(second), {}}}, {}, {}});
     fixture.run_and_break();
     CHECK(fixture.starts.size() == 2); // held until its isolated run
     fixture.advance(isolated_run_delay);
@@ -148,7 +148,7 @@
     fixture.request(2);
     fixture.forwarder.on_sent(fixture.now, fixture.starts.back().id);
     fixture.forwarder.on_crash_news(
-        fixture.now, {{{crashes::endpoint_life{1}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
+        fixture.now, {{{crashes::endpoint_id_hash{1}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
     fixture.forwarder.on_endpoint(fixture.now, forwarder_under_test::entry_of(1, 2));
     fixture.advance(isolated_run_delay);
     CHECK(fixture.refusals.empty());
@@ -185,7 +185,7 @@
     fixture.forwarder.on_sent(fixture.now, fixture.starts[1].id);
     for (std::uint64_t n = 1; n <= 2; ++n)
         fixture.forwarder.on_crash_news(
-            fixture.now, {{{crashes::endpoint_life{n}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
+            fixture.now, {{{crashes::endpoint_id_hash{n}, {{fingerprint(), milliseconds{100}}}}}, {}, {}});
     fixture.advance(milliseconds{10});
     CHECK(fixture.cancelled.size() == 2);
     fixture.advance(isolated_run_delay);
@@ -197,7 +197,8 @@
 {
     forwarder_under_test fixture{2};
     const auto at = forwarder_under_test::entry_of(1, 1).id;
-    fixture.forwarder.on_crash_news(fixture.now, {{}, {{fingerprint(), crashes::life_hash(at)}}, {}});
+    fixture.forwarder.on_crash_news(fixture.now,
+                                    {{}, {{fingerprint(), crashes::hash_of_endpoint_id(at)}}, {}});
     for (std::uint64_t n = 1; n <= 4; ++n)
     {
         inbound_request in;
@@ -231,7 +232,7 @@
     fixture.forwarder.on_sent(fixture.now, trial);
     fixture.forwarder.on_stream_head(fixture.now, trial, {200, false, true, true, {}});
     fixture.forwarder.on_stream_end(fixture.now, trial);
-    CHECK(fixture.forwarder.attribution().standing_of(fixture.now, fingerprint()).ends == 2);
+    CHECK(fixture.forwarder.attribution().suspicion_of(fixture.now, fingerprint()).ends == 2);
 }
 
 // Guards against clearing a harmful request by error answers: endpoints of a bad version answered it with 500
@@ -246,5 +247,5 @@
     const auto trial = fixture.starts.back().id;
     fixture.forwarder.on_sent(fixture.now, trial);
     fixture.forwarder.on_answer(fixture.now, trial, {500, false, true, false, {}});
-    CHECK(fixture.forwarder.attribution().standing_of(fixture.now, fingerprint()).ends == 2);
+    CHECK(fixture.forwarder.attribution().suspicion_of(fixture.now, fingerprint()).ends == 2);
 }
--- a/src/runlink/routing/request_forwarder.cpp
+++ b/src/runlink/routing/request_forwarder.cpp
@@ -169,7 +169,7 @@
     if (to.is_trial)
     {
         ++counters_.trials;
-        attribution_.begin_trial(now, request_flow.fingerprint, crashes::life_hash(endpoint.id));
+        attribution_.begin_trial(now, request_flow.fingerprint, crashes::hash_of_endpoint_id(endpoint.id));
     }
     log_dispatched(now, request_flow, order, record);
     attempts_.emplace(order.id, std::move(record));
@@ -203,7 +203,7 @@
         return false;
     const auto& it = found->second;
     const bool may =
-        !is_excluded_as_leaving(now, it.endpoint) && bounds_.try_keep(now, it.endpoint, it.started);
+        !is_excluded_as_leaving(now, it.endpoint) && bounds_.confirm_send(now, it.endpoint, it.started);
     if (!may)
         ++counters_.withheld;
     return may;
@@ -253,7 +253,8 @@
         chooser_.placement().withdrawn(now, *out.prompt);
     chooser_.finished(out.endpoint);
     if (out.is_trial)
-        attribution_.end_trial(now, it.fingerprint, crashes::life_hash(out.endpoint), out.may_have_run);
+        attribution_.end_trial(now, it.fingerprint, crashes::hash_of_endpoint_id(out.endpoint),
+                               out.may_have_run);
     return out;
 }
 
--- a/src/runlink/routing/request_forwarder_answers.cpp
+++ b/src/runlink/routing/request_forwarder_answers.cpp
@@ -66,7 +66,7 @@
         chooser_.refused(now, from->endpoint);
         return retry_or_end(now, *request_flow, core::errc::endpoint_refused, true);
     }
-    bounds_.rests().took(from->endpoint, from->started);
+    bounds_.rests().on_accepted(from->endpoint, from->started);
     sample_end(now, *request_flow, *from, is_bad);
     if (!is_bad)
         chooser_.answered(from->endpoint);
@@ -98,7 +98,7 @@
     auto& from = attempts_.at(id);
     from.has_ended = false;
     liveness_.heard(now, from.endpoint);
-    bounds_.rests().took(from.endpoint, from.started);
+    bounds_.rests().on_accepted(from.endpoint, from.started);
     it->probe_at = now + liveness_.options().ask_after;
     if (!head.is_sealed)
     {
--- a/src/runlink/routing/request_forwarder_arrival.cpp
+++ b/src/runlink/routing/request_forwarder_arrival.cpp
@@ -139,7 +139,7 @@
 milliseconds request_forwarder::retry_after(time_point now, const flow& it) const
 {
     // A retry before this time would be refused again.
-    if (const auto left = attribution_.refused_for(now, it.fingerprint); left > duration{})
+    if (const auto left = attribution_.refusal_time_left(now, it.fingerprint); left > duration{})
         return std::chrono::ceil<milliseconds>(left);
     const auto expected = expected_prompt(now, it);
     const auto wait = expected ? expected->wait : it.service.empty() ? duration{} : time_to_slot(now, it);
--- a/src/runlink/routing/request_forwarder_crashes.cpp
+++ b/src/runlink/routing/request_forwarder_crashes.cpp
@@ -13,15 +13,15 @@
 crashes::crash_attribution::hooks request_forwarder::attribution_hooks()
 {
     crashes::crash_attribution::hooks out;
-    out.tell = [this](const crashes::crash_news& it) { hooks_.crash_seen(it); };
-    out.ended = [this](time_point now, crashes::endpoint_life it) { on_endpoint_ended(now, it); };
+    out.broadcast = [this](const crashes::crash_message& it) { hooks_.crash_seen(it); };
+    out.ended = [this](time_point now, crashes::endpoint_id_hash it) { on_endpoint_ended(now, it); };
     out.suspected = [this](time_point now, crashes::request_fingerprint it)
     {
         ++counters_.suspected;
         log_attribution(now, "request_suspected", it, "");
         suspected_.push_back(it);
     };
-    out.condemned = [this](time_point now, crashes::request_fingerprint it, bool is_own)
+    out.marked_harmful = [this](time_point now, crashes::request_fingerprint it, bool is_own)
     {
         ++counters_.found_harmful;
         log_attribution(now, "request_harmful", it, is_own ? "found" : "told");
@@ -32,9 +32,9 @@
     return out;
 }
 
-void request_forwarder::on_crash_news(time_point now, const crashes::crash_news& it)
+void request_forwarder::on_crash_news(time_point now, const crashes::crash_message& it)
 {
-    attribution_.on_news(now, it);
+    attribution_.on_message(now, it);
 }
 
 // Ends of endpoints
@@ -46,8 +46,8 @@
     // A leaving endpoint may end as planned.
     if (!from.may_have_run || endpoints_.is_leaving(from.endpoint))
         return;
-    const bool is_first =
-        attribution_.on_broken(now, it.fingerprint, crashes::life_hash(from.endpoint), from.started);
+    const bool is_first = attribution_.on_connection_broken(
+        now, it.fingerprint, crashes::hash_of_endpoint_id(from.endpoint), from.started);
     if (is_first && probes_endpoint && endpoint != nullptr &&
         !evacuations_.contains(endpoint->failure_domain))
         hooks_.ask(*endpoint);
@@ -61,15 +61,15 @@
     line.endpoint = id.str();
     line.reason = how;
     hooks_.log(line);
-    attribution_.on_ended(now, crashes::life_hash(id));
+    attribution_.on_ended(now, crashes::hash_of_endpoint_id(id));
 }
 
-void request_forwarder::on_endpoint_ended(time_point now, crashes::endpoint_life it)
+void request_forwarder::on_endpoint_ended(time_point now, crashes::endpoint_id_hash it)
 {
     // The endpoint's entry stays listed for seconds. Without this, each instance would find out by losing a
     // request of its own.
     const auto* endpoint =
-        endpoints_.find_if([&](const endpoint_entry& e) { return crashes::life_hash(e.id) == it; });
+        endpoints_.find_if([&](const endpoint_entry& e) { return crashes::hash_of_endpoint_id(e.id) == it; });
     if (endpoint == nullptr)
         return;
     chooser_.not_reached(now, endpoint->id);
@@ -80,12 +80,15 @@
 
 void request_forwarder::isolate_suspects(time_point now, endpoint_need& need, bool is_trial) const
 {
-    const auto taken = attribution_.on_trial(now);
+    const auto taken = attribution_.endpoints_on_trial(now);
     if (!is_trial && taken.empty())
         return;
     auto narrowed = need;
     narrowed.may_use = [this, now, taken, before = need.may_use](const endpoint_entry& it)
-    { return before(it) && !chooser_.is_aside(now, it.id) && !taken.contains(crashes::life_hash(it.id)); };
+    {
+        return before(it) && !chooser_.is_aside(now, it.id) &&
+               !taken.contains(crashes::hash_of_endpoint_id(it.id));
+    };
     if (is_trial)
     {
         auto least = std::numeric_limits<std::uint32_t>::max();
@@ -207,7 +210,7 @@
 void request_forwarder::log_attribution(time_point now, std::string_view event,
                                         crashes::request_fingerprint it, std::string_view reason)
 {
-    const auto standing = attribution_.standing_of(now, it);
+    const auto standing = attribution_.suspicion_of(now, it);
     decision line;
     line.event = event;
     line.reason = reason;
--- a/src/runlink/routing/request_forwarder_statements.cpp
+++ b/src/runlink/routing/request_forwarder_statements.cpp
@@ -25,7 +25,7 @@
                                      const endpoint_statement& it)
 {
     if (it.is_limit_readable)
-        log_limit(id, bounds_.limits().answered(now, id, it.requests_per_s, asked_at), "answer", {});
+        log_limit(id, bounds_.limits().on_answer(now, id, it.requests_per_s, asked_at), "answer", {});
     else
         log_statement("endpoint_limit", id, "unreadable");
     if (!it.is_leaving_readable)
@@ -34,7 +34,7 @@
         mark_leaving(now, id, {}, "answer");
     if (!it.is_rest_readable)
         log_statement("endpoint_rest", id, "unreadable");
-    if (it.rest && bounds_.rests().asked(now, id, *it.rest))
+    if (it.rest && bounds_.rests().on_rest_requested(now, id, *it.rest))
         log_rest(id, *it.rest);
 }
 
@@ -114,7 +114,7 @@
 {
     for (const auto& e : it.reports)
     {
-        const auto news = bounds_.limits().told(now, it.sender, e);
+        const auto news = bounds_.limits().on_report(now, it.sender, e);
         log_limit(e.endpoint, news.change, "peer", news.age);
     }
 }
--- a/src/runlink/routing/request_forwarder_succession.cpp
+++ b/src/runlink/routing/request_forwarder_succession.cpp
@@ -14,7 +14,7 @@
     // of the request wait for it.
     const bool is_trial = std::any_of(it.attempts.begin(), it.attempts.end(),
                                       [this](attempt_id id) { return attempts_.at(id).is_trial; });
-    if (is_trial && attribution_.may_hand_on(it.fingerprint))
+    if (is_trial && attribution_.may_repeat_trial(it.fingerprint))
         return crashes::permission::alone;
     return attribution_.judge(now, it.fingerprint);
 }
--- a/src/runlink/routing/request_forwarder_timers.cpp
+++ b/src/runlink/routing/request_forwarder_timers.cpp
@@ -70,7 +70,7 @@
 {
     if (what == core::contact::answered)
     {
-        attribution_.on_not_ended(now, crashes::life_hash(id));
+        attribution_.on_end_not_confirmed(now, crashes::hash_of_endpoint_id(id));
         return liveness_.heard(now, id);
     }
     chooser_.not_reached(now, id);
@@ -80,7 +80,7 @@
     if (has_ended)
         report_endpoint_ended(now, id, "refused");
     else
-        attribution_.on_not_ended(now, crashes::life_hash(id));
+        attribution_.on_end_not_confirmed(now, crashes::hash_of_endpoint_id(id));
 }
 
 void request_forwarder::replace_silent_attempts(time_point now, const endpoint_id& id, bool has_ended)
--- a/tests/support/crash_fleet.cpp
+++ b/tests/support/crash_fleet.cpp
@@ -90,7 +90,7 @@
         it.forwarder->attribution().on_recorded(now_, e);
 }
 
-void crash_fleet::tell(int from, const crashes::crash_news& it)
+void crash_fleet::tell(int from, const crashes::crash_message& it)
 {
     for (int n = 0; n < case_.instances; ++n)
     {
@@ -148,7 +148,7 @@
     to.session_ran = [](const session_run&) {};
     to.prompt_went = [](const prompt_sent&) {};
     to.prompt_came = [](const prompt_answered&) {};
-    to.crash_seen = [this, n](const crashes::crash_news& it) { tell(n, it); };
+    to.crash_seen = [this, n](const crashes::crash_message& it) { tell(n, it); };
     to.found_harmful = [this](crashes::request_fingerprint it) { record(it); };
     to.log = [](const decision&) {};
     to.ended = [](const decision&, core::duration) {};
--- a/tests/support/crash_fleet.hpp
+++ b/tests/support/crash_fleet.hpp
@@ -135,7 +135,7 @@
     void lose_power();
     void answer_question(int n, const routing::endpoint_entry& about);
     void look(int n);
-    void tell(int from, const crashes::crash_news& it);
+    void tell(int from, const crashes::crash_message& it);
     void record(crashes::request_fingerprint it);
     bool is_current(const send& it) const;
     endpoint& at(const routing::endpoint_entry& it);
--- a/tests/support/forwarding_history.cpp
+++ b/tests/support/forwarding_history.cpp
@@ -342,22 +342,22 @@
     auto at = attempts.begin();
     std::advance(at, static_cast<std::ptrdiff_t>(pick(attempts.size())));
     const auto content = seen_.requests().at(at->second.flow).content;
-    const crashes::cut_run run{content, milliseconds{100}};
-    crashes::crash_news it;
+    const crashes::interrupted_request run{content, milliseconds{100}};
+    crashes::crash_message it;
     switch (pick(5))
     {
-    case 0: it.findings.push_back({content, crashes::conduct::harmful}); break;
-    case 1: it.findings.push_back({content, crashes::conduct::harmless}); break;
-    case 2: it.trials.push_back({content, crashes::endpoint_life{next_life_++}, pick(2) == 0}); break;
+    case 0: it.findings.push_back({content, crashes::request_effect::harmful}); break;
+    case 1: it.findings.push_back({content, crashes::request_effect::harmless}); break;
+    case 2: it.trials.push_back({content, crashes::endpoint_id_hash{next_life_++}, pick(2) == 0}); break;
     default:
         for (int n = 0; n < 2; ++n)
-            it.reports.push_back({crashes::endpoint_life{next_life_++}, {run}});
+            it.reports.push_back({crashes::endpoint_id_hash{next_life_++}, {run}});
     }
     tell("news", [&] { forwarder_.on_crash_news(now_, it); });
     if (pick(8) == 0)
         tell("news",
              [&] {
-                 forwarder_.on_crash_news(now_, {{}, {}, {{content, crashes::conduct::harmless}}});
+                 forwarder_.on_crash_news(now_, {{}, {}, {{content, crashes::request_effect::harmless}}});
              });
 }
 
--- a/tests/support/forwarding_script.cpp
+++ b/tests/support/forwarding_script.cpp
@@ -308,21 +308,21 @@
     /// `suspected ACCOUNT`: other instances saw endpoints end under its requests.
     void suspect(const words& all)
     {
-        const crashes::cut_run run{content_of(all), milliseconds{100}};
+        const crashes::interrupted_request run{content_of(all), milliseconds{100}};
         for (const std::uint64_t n : {1, 2})
-            forwarder_.on_crash_news(now_, {{{crashes::endpoint_life{n}, {run}}}, {}, {}});
+            forwarder_.on_crash_news(now_, {{{crashes::endpoint_id_hash{n}, {run}}}, {}, {}});
     }
 
     /// `condemned ACCOUNT`: another instance found them harmful.
     void condemn(const words& all)
     {
-        forwarder_.on_crash_news(now_, {{}, {}, {{content_of(all), crashes::conduct::harmful}}});
+        forwarder_.on_crash_news(now_, {{}, {}, {{content_of(all), crashes::request_effect::harmful}}});
     }
 
     /// `cleared ACCOUNT`: another instance had an answer to them.
     void clear(const words& all)
     {
-        forwarder_.on_crash_news(now_, {{}, {}, {{content_of(all), crashes::conduct::harmless}}});
+        forwarder_.on_crash_news(now_, {{}, {}, {{content_of(all), crashes::request_effect::harmless}}});
     }
 
     time_point now_{core::seconds{100}};
