--- a/include/runlink/routing/endpoint_backlog.hpp
+++ b/include/runlink/routing/endpoint_backlog.hpp
@@ -51,7 +51,7 @@
     void set_remote_loads(time_point now, const std::vector<endpoint_load>& all);
     /// The loads of at least `least` caused by instances that announce each prompt, for the load digest to
     /// other failure domains.
-    std::vector<endpoint_load> near_loads(time_point now, milliseconds least) const;
+    std::vector<endpoint_load> local_loads(time_point now, milliseconds least) const;
     /// Drops entries that are older than `max_entry_age`, and idle endpoints.
     void expire(time_point now);
 
--- a/include/runlink/routing/endpoint_chooser.hpp
+++ b/include/runlink/routing/endpoint_chooser.hpp
@@ -58,7 +58,7 @@
     const endpoint_entry* peek(time_point now, const endpoint_directory& from,
                                const endpoint_need& need) const;
     /// Advances the round-robin order among endpoints of equal cost.
-    void pass_turn() { ++rotation_; }
+    void rotate() { ++rotation_; }
     using candidates = std::vector<const endpoint_entry*>;
     /// Endpoints that meet the constraints of `need`, including those in backoff.
     candidates fitting(time_point now, const endpoint_directory& from, const endpoint_need& need) const;
@@ -73,15 +73,15 @@
     /// The endpoint refused a request for lack of capacity.
     void refused(time_point now, const endpoint_id& id);
     /// A connection to the endpoint could not be established.
-    void not_reached(time_point now, const endpoint_id& id);
+    void connect_failed(time_point now, const endpoint_id& id);
     /// An answer failed or broke off.
-    void broke(time_point now, const endpoint_id& id);
+    void answer_failed(time_point now, const endpoint_id& id);
     /// Drops the state of endpoints that are no longer in the directory and have no requests in flight.
     void keep_only(const endpoint_directory& directory);
 
     std::uint32_t in_flight(const endpoint_id& id) const;
     /// Whether the endpoint is in backoff, and used only if no other endpoint is available.
-    bool is_aside(time_point now, const endpoint_id& id) const { return now < at(id).backoff_until; }
+    bool is_backing_off(time_point now, const endpoint_id& id) const { return now < at(id).backoff_until; }
 
 private:
     struct load
--- a/include/runlink/routing/endpoint_directory.hpp
+++ b/include/runlink/routing/endpoint_directory.hpp
@@ -27,12 +27,12 @@
 /// The id of one incarnation of an endpoint, from its start to its end. Loads, failures, cached prompts and
 /// roll-out evidence are stored under this id, so that a restarted endpoint begins without them. The id
 /// of incarnation 0 is the name itself.
-endpoint_id life_of(const endpoint_name& name, endpoint_incarnation incarnation);
+endpoint_id endpoint_id_of(const endpoint_name& name, endpoint_incarnation incarnation);
 
 /// One incarnation of an endpoint.
 struct endpoint_entry
 {
-    endpoint_id id; ///< see `life_of`
+    endpoint_id id; ///< see `endpoint_id_of`
     endpoint_name name;
     endpoint_incarnation incarnation;
     service_id service;
@@ -58,7 +58,7 @@
     /// How long an endpoint that announced its shutdown in an answer may still get requests that no other
     /// endpoint can take; 0: never. Must be below the endpoint's remaining service time minus the network
     /// delay.
-    milliseconds last_resort{1400};
+    milliseconds last_resort_time{1400};
     /// How long the leaving mark of an unlisted incarnation is kept, since its entry may reappear.
     milliseconds leaving_mark_ttl{600'000};
 };
@@ -106,7 +106,8 @@
     /// Endpoints of a service that may get new work, without those that are leaving.
     std::vector<const endpoint_entry*> usable(time_point now, const service_id& service) const;
     /// Endpoints of a service that announced their shutdown themselves but are not yet listed as leaving.
-    /// They may still get requests that no other endpoint can take, for `directory_options::last_resort`.
+    /// They may still get requests that no other endpoint can take, for
+    /// `directory_options::last_resort_time`.
     std::vector<const endpoint_entry*> last_resorts(time_point now, const service_id& service) const;
     bool is_last_resort(time_point now, const endpoint_id& id) const;
     std::vector<const endpoint_entry*> of_domain(const failure_domain_id& domain) const;
--- a/include/runlink/routing/prompt_placement.hpp
+++ b/include/runlink/routing/prompt_placement.hpp
@@ -95,14 +95,14 @@
     /// An endpoint began its answer to a prompt of a peer.
     void on_peer_answered(time_point now, const prompt_answered& it);
     /// Takes the loads that other failure domains cause.
-    void on_far_loads(time_point now, const load_digest& it) { backlog_.set_remote_loads(now, it.loads); }
+    void on_remote_loads(time_point now, const load_digest& it) { backlog_.set_remote_loads(now, it.loads); }
     /// The loads of at least `least` that the own failure domain causes.
-    load_digest near_loads(time_point now, milliseconds least) const
+    load_digest local_loads(time_point now, milliseconds least) const
     {
-        return {own_domain_, backlog_.near_loads(now, least)};
+        return {own_domain_, backlog_.local_loads(now, least)};
     }
     /// Whether a prompt is worth announcing to peers.
-    bool is_told(const placed_prompt& it) const { return it.work >= options_.least_told; }
+    bool should_announce(const placed_prompt& it) const { return it.work >= options_.least_told; }
     /// Drops outdated state; to be called about once a second.
     void expire(time_point now);
 
--- a/include/runlink/routing/request_forwarder.hpp
+++ b/include/runlink/routing/request_forwarder.hpp
@@ -106,7 +106,7 @@
     /// The result of a probe started by `forwarder_hooks::ask`.
     void on_asked(time_point now, const endpoint_id& id, core::contact what);
     /// A session ran at another instance.
-    void on_peer_run(time_point now, const session_run& it) { pins_.ran(now, it.session, it.version); }
+    void on_peer_run(time_point now, const session_run& it) { pins_.record_run(now, it.session, it.version); }
 
     /// Another instance sent a prompt to an endpoint.
     void on_peer_prompt(time_point now, const prompt_sent& it)
@@ -122,11 +122,14 @@
     }
 
     /// Prompts sent by instances of other failure domains.
-    void on_far_loads(time_point now, const load_digest& it) { chooser_.placement().on_far_loads(now, it); }
+    void on_remote_loads(time_point now, const load_digest& it)
+    {
+        chooser_.placement().on_remote_loads(now, it);
+    }
     /// Prompts sent by instances of this instance's failure domain.
-    load_digest near_loads(time_point now, milliseconds least) const
+    load_digest local_loads(time_point now, milliseconds least) const
     {
-        return chooser_.placement().near_loads(now, least);
+        return chooser_.placement().local_loads(now, least);
     }
 
     /// Another instance reports crashed endpoints.
--- a/include/runlink/routing/rollout_control.hpp
+++ b/include/runlink/routing/rollout_control.hpp
@@ -87,7 +87,7 @@
 };
 
 /// State of a roll-out as known to this instance, for logs.
-struct rollout_standing
+struct rollout_status
 {
     rollout_order order;
     rollout_record record;
@@ -139,7 +139,7 @@
 
     /// Whether runs of this session are announced to peers. This is needed only for sessions that fall into
     /// the first share, since an active session must not be moved to the new version in the first half.
-    bool spreads_runs(const service_id& service, session_hash session) const;
+    bool announces_runs(const service_id& service, session_hash session) const;
     /// When evidence of this instance is to be sent to peers.
     std::optional<time_point> evidence_due() const;
     /// Returns the evidence that is due, and schedules its repetition.
@@ -160,7 +160,7 @@
     /// The record of the service's roll-out while its order exists, or null. For logs and metrics.
     const rollout_record* find(const service_id& service) const;
     /// The state of the service's latest roll-out, if any.
-    std::optional<rollout_standing> standing(const service_id& service) const;
+    std::optional<rollout_status> status(const service_id& service) const;
     /// Called when this instance finds a version faulty.
     std::function<void(const service_id&, const version_fault&)> on_verdict = [](const auto&, const auto&) {};
 
--- a/include/runlink/routing/rollout_schedule.hpp
+++ b/include/runlink/routing/rollout_schedule.hpp
@@ -17,7 +17,8 @@
     std::uint32_t first_share_percent = 8;
     /// Shares of the steps in the last part, rising to 100.
     std::vector<std::uint32_t> steps_percent{100};
-    double step_time = 0.02; ///< time between the steps of the last part, as a fraction of the roll-out time
+    double step_fraction =
+        0.02; ///< time between the steps of the last part, as a fraction of the roll-out time
     /// Fraction of the roll-out time before which the last part does not begin. Sessions must not be moved in
     /// the first half of a roll-out.
     double hold_fraction = 0.52;
@@ -27,7 +28,7 @@
     /// Time before the deadline at which a good version is declared. It covers the write, and a second write
     /// by another instance if the first is lost.
     core::milliseconds reserve{900};
-    double most_reserve = 0.05; ///< limit of `reserve` as a fraction of the roll-out time
+    double most_reserve_fraction = 0.05; ///< limit of `reserve` as a fraction of the roll-out time
     /// Time between the last step and the declaration, in which old endpoints finish their work.
     core::milliseconds least_overlap{500};
     /// Share of a service's requests that a faulty version may get over the whole roll-out. It limits every
--- a/include/runlink/routing/session_pins.hpp
+++ b/include/runlink/routing/session_pins.hpp
@@ -20,7 +20,7 @@
     explicit session_pins(core::milliseconds ttl) : ttl_{ttl} {}
 
     /// Records a run of a session.
-    void ran(core::time_point now, session_hash session, const core::version_id& version);
+    void record_run(core::time_point now, session_hash session, const core::version_id& version);
     std::optional<core::version_id> find(core::time_point now, session_hash session) const;
     /// The last run of each session within the TTL.
     std::vector<session_run> all(core::time_point now) const;
--- a/src/runlink/gateway/gateway_daemon.cpp
+++ b/src/runlink/gateway/gateway_daemon.cpp
@@ -86,7 +86,7 @@
     forwarder_.rollouts().on_verdict =
         [this](const core::service_id& service, const routing::version_fault& why)
     {
-        log_.write(clock_(), version_found_bad_line(service, why, forwarder_.rollouts().standing(service)),
+        log_.write(clock_(), version_found_bad_line(service, why, forwarder_.rollouts().status(service)),
                    observe::log_rank::vital);
     };
     timer_.setSingleShot(true);
@@ -120,7 +120,7 @@
     out.chooser.placement.least_told = tuning.least_told;
     out.chooser.placement.kept.kept_for = tuning.prompts_kept_for;
     out.bounds.warm_up.senders = tuning.cold_senders;
-    out.directory.last_resort = std::max(settings_.drain - drain_margin, core::milliseconds{0});
+    out.directory.last_resort_time = std::max(settings_.drain - drain_margin, core::milliseconds{0});
     out.regions = settings_.regions;
     out.hedge_after = tuning.hedge_after;
     out.move_after = tuning.move_after;
--- a/src/runlink/gateway/gateway_daemon_peers.cpp
+++ b/src/runlink/gateway/gateway_daemon_peers.cpp
@@ -220,10 +220,10 @@
     if (!relay_.is_relay() || gossip_.tells_far())
         return;
     next_digest_ = now + far_loads_.options().interval;
-    gossip_.send_to(relay_.other_relays(), forwarder_.near_loads(now, far_loads_.options().least_load));
+    gossip_.send_to(relay_.other_relays(), forwarder_.local_loads(now, far_loads_.options().least_load));
     const auto far = far_loads_.merged(now);
     gossip_.tell_near(far);
-    forwarder_.on_far_loads(now, far);
+    forwarder_.on_remote_loads(now, far);
 }
 
 void gateway_daemon::on_load_digest(core::time_point now, const routing::load_digest& it)
@@ -231,7 +231,7 @@
     if (!it.domain.empty())
         far_loads_.on_digest(now, it); // from another relay
     else if (!gossip_.tells_far())
-        forwarder_.on_far_loads(now, it);
+        forwarder_.on_remote_loads(now, it);
 }
 
 void gateway_daemon::on_gossip(core::time_point now, const routing::gossip_message& it)
--- a/src/runlink/routing/endpoint_backlog.cpp
+++ b/src/runlink/routing/endpoint_backlog.cpp
@@ -70,7 +70,7 @@
         remote_busy_until_[it.endpoint] = now + it.left;
 }
 
-std::vector<endpoint_load> endpoint_backlog::near_loads(time_point now, milliseconds least) const
+std::vector<endpoint_load> endpoint_backlog::local_loads(time_point now, milliseconds least) const
 {
     std::vector<endpoint_load> out;
     for (const auto& [endpoint, it] : queues_)
--- a/src/runlink/routing/endpoint_chooser.cpp
+++ b/src/runlink/routing/endpoint_chooser.cpp
@@ -56,14 +56,14 @@
     it.backoff_until = std::max(it.backoff_until, now + time);
 }
 
-void endpoint_chooser::not_reached(time_point now, const endpoint_id& id)
+void endpoint_chooser::connect_failed(time_point now, const endpoint_id& id)
 {
     auto& it = loads_[id];
     ++it.failures;
     eject(now, it);
 }
 
-void endpoint_chooser::broke(time_point now, const endpoint_id& id)
+void endpoint_chooser::answer_failed(time_point now, const endpoint_id& id)
 {
     auto& it = loads_[id];
     ++it.failures;
@@ -108,7 +108,7 @@
 {
     candidates out;
     for (const auto* it : from)
-        if (!is_aside(now, it->id))
+        if (!is_backing_off(now, it->id))
             out.push_back(it);
     return out;
 }
@@ -148,7 +148,7 @@
                                                const endpoint_need& need)
 {
     const auto* out = peek(now, from, need);
-    pass_turn();
+    rotate();
     return out;
 }
 
--- a/src/runlink/routing/endpoint_directory.cpp
+++ b/src/runlink/routing/endpoint_directory.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-endpoint_id life_of(const endpoint_name& name, endpoint_incarnation incarnation)
+endpoint_id endpoint_id_of(const endpoint_name& name, endpoint_incarnation incarnation)
 {
     if (incarnation == endpoint_incarnation{})
         return endpoint_id{name.str()};
@@ -116,7 +116,7 @@
 {
     const auto mark = leaving_marks_.find(it.entry.id);
     return mark != leaving_marks_.end() && !it.is_listed_as_leaving && now < it.usable_until &&
-           now < mark->second + options_.last_resort;
+           now < mark->second + options_.last_resort_time;
 }
 
 bool endpoint_directory::is_last_resort(time_point now, const endpoint_id& id) const
--- a/src/runlink/routing/harmful_request_test.cpp
+++ b/src/runlink/routing/harmful_request_test.cpp
@@ -52,7 +52,7 @@
         endpoint_entry out;
         out.name = core::endpoint_name{"e" + std::to_string(n)};
         out.incarnation = core::endpoint_incarnation{incarnation};
-        out.id = life_of(out.name, out.incarnation);
+        out.id = endpoint_id_of(out.name, out.incarnation);
         out.service = service_name;
         out.failure_domain = core::failure_domain_id{"north"};
         return out;
--- a/src/runlink/routing/placement_test.cpp
+++ b/src/runlink/routing/placement_test.cpp
@@ -25,7 +25,7 @@
 {
     endpoint_entry out;
     out.name = core::endpoint_name{"e" + std::to_string(n)};
-    out.id = life_of(out.name, {});
+    out.id = endpoint_id_of(out.name, {});
     out.service = core::service_id{"s"};
     out.failure_domain = core::failure_domain_id{domain};
     return out;
@@ -92,7 +92,7 @@
         const auto* to = choosers[instance].choose(now, directory, need);
         REQUIRE(to != nullptr);
         const auto placed = choosers[instance].placement().sent(now, *to, prompt);
-        if (announces_all && choosers[instance].placement().is_told(placed))
+        if (announces_all && choosers[instance].placement().should_announce(placed))
             for (std::size_t n = 0; n < choosers.size(); ++n)
                 if (n != instance)
                     choosers[n].placement().on_peer_sent(
@@ -139,7 +139,7 @@
     {
         std::vector<load_digest> all;
         for (auto& it : choosers)
-            all.push_back(it.placement().near_loads(now, load_exchange_options{}.least_load));
+            all.push_back(it.placement().local_loads(now, load_exchange_options{}.least_load));
         for (std::size_t n = 0; n < choosers.size(); ++n)
         {
             load_exchange others;
@@ -149,7 +149,7 @@
                     all[e].domain = core::failure_domain_id{std::to_string(e)};
                     others.on_digest(now, all[e]);
                 }
-            choosers[n].placement().on_far_loads(now, others.merged(now));
+            choosers[n].placement().on_remote_loads(now, others.merged(now));
         }
     }
 
@@ -385,7 +385,7 @@
     backlog.set_remote_loads(start, both.loads);
     CHECK(backlog.time_left(start, a) == milliseconds{350});
     CHECK(backlog.time_left(start + milliseconds{320}, a) == duration{});
-    CHECK(backlog.near_loads(start, milliseconds{30}).at(0).left ==
+    CHECK(backlog.local_loads(start, milliseconds{30}).at(0).left ==
           milliseconds{50}); // excludes remote loads
     backlog.set_remote_loads(start, {});
     CHECK(backlog.time_left(start, a) == milliseconds{50});
--- a/src/runlink/routing/request_forwarder.cpp
+++ b/src/runlink/routing/request_forwarder.cpp
@@ -61,7 +61,7 @@
     // Runs before the order were not announced. A session may be idle for longer than the roll-out waits
     // before its first share, and then continue at an instance that would take it for a new session.
     for (const auto& it : pins_.all(now))
-        if (rollouts_.spreads_runs(order.service, it.session))
+        if (rollouts_.announces_runs(order.service, it.session))
             hooks_.session_ran(it);
 }
 
@@ -160,7 +160,7 @@
     if (record.prompt)
         record.expected = record.prompt->wait + record.prompt->work;
     chooser_.started(endpoint.id);
-    chooser_.pass_turn();
+    chooser_.rotate();
     if (bounds_.warm_up().is_cold(now, endpoint.id))
         ++counters_.cold_sends;
     if (bounds_.limits().limit_of(endpoint.id))
@@ -229,8 +229,8 @@
 {
     if (it.request.session.empty())
         return;
-    pins_.ran(now, it.session, version);
-    if (rollouts_.spreads_runs(it.service, it.session))
+    pins_.record_run(now, it.session, version);
+    if (rollouts_.announces_runs(it.service, it.session))
         hooks_.session_ran({it.session, version});
 }
 
--- a/src/runlink/routing/request_forwarder_answers.cpp
+++ b/src/runlink/routing/request_forwarder_answers.cpp
@@ -72,7 +72,7 @@
         chooser_.answered(from->endpoint);
     if (is_invalid)
     {
-        chooser_.broke(now, from->endpoint);
+        chooser_.answer_failed(now, from->endpoint);
         return retry_or_end(now, *request_flow, core::errc::endpoint_answer_invalid, true);
     }
     if (is_bad && !request_flow->attempts.empty() && !request_flow->head_forwarded)
@@ -103,7 +103,7 @@
     if (!head.is_sealed)
     {
         sample_end(now, *it, from, true);
-        chooser_.broke(now, from.endpoint);
+        chooser_.answer_failed(now, from.endpoint);
         take_attempt(now, id);
         hooks_.cancel(id);
         return retry_or_end(now, *it, core::errc::endpoint_answer_invalid, true);
@@ -246,11 +246,11 @@
         return;
     if (loss == attempt_loss::not_sent)
     {
-        chooser_.not_reached(now, from->endpoint);
+        chooser_.connect_failed(now, from->endpoint);
         return mark_unreachable_cold(now, from->endpoint);
     }
     sample_end(now, it, *from, true);
-    chooser_.broke(now, from->endpoint);
+    chooser_.answer_failed(now, from->endpoint);
 }
 
 // Endings
--- a/src/runlink/routing/request_forwarder_arrival.cpp
+++ b/src/runlink/routing/request_forwarder_arrival.cpp
@@ -234,7 +234,7 @@
         return std::nullopt;
     auto& placement = chooser_.placement();
     const auto out = placement.sent(now, to, *need);
-    if (!placement.is_told(out))
+    if (!placement.should_announce(out))
         return out;
     ++counters_.prompts_told;
     hooks_.prompt_went({out.endpoint, need->shared, std::chrono::ceil<milliseconds>(out.work)});
--- a/src/runlink/routing/request_forwarder_crashes.cpp
+++ b/src/runlink/routing/request_forwarder_crashes.cpp
@@ -72,7 +72,7 @@
         endpoints_.find_if([&](const endpoint_entry& e) { return crashes::hash_of_endpoint_id(e.id) == it; });
     if (endpoint == nullptr)
         return;
-    chooser_.not_reached(now, endpoint->id);
+    chooser_.connect_failed(now, endpoint->id);
     mark_unreachable_cold(now, endpoint->id);
 }
 
@@ -86,7 +86,7 @@
     auto narrowed = need;
     narrowed.may_use = [this, now, taken, before = need.may_use](const endpoint_entry& it)
     {
-        return before(it) && !chooser_.is_aside(now, it.id) &&
+        return before(it) && !chooser_.is_backing_off(now, it.id) &&
                !taken.contains(crashes::hash_of_endpoint_id(it.id));
     };
     if (is_trial)
--- a/src/runlink/routing/request_forwarder_timers.cpp
+++ b/src/runlink/routing/request_forwarder_timers.cpp
@@ -73,7 +73,7 @@
         attribution_.on_end_not_confirmed(now, crashes::hash_of_endpoint_id(id));
         return liveness_.heard(now, id);
     }
-    chooser_.not_reached(now, id);
+    chooser_.connect_failed(now, id);
     mark_unreachable_cold(now, id);
     const bool has_ended = what == core::contact::refused;
     replace_silent_attempts(now, id, has_ended);
@@ -144,7 +144,7 @@
     hooks_.log(line);
     for (const auto id : it.attempts)
         if (auto& from = attempts_.at(id); !std::exchange(from.is_stalled, true))
-            chooser_.broke(now, from.endpoint);
+            chooser_.answer_failed(now, from.endpoint);
     // The next endpoint may refuse the request, and then no other attempt may be left to continue with.
     if (!keeps_until_answered(it))
         cancel_attempts(now, it);
--- a/src/runlink/routing/rollout_control.cpp
+++ b/src/runlink/routing/rollout_control.cpp
@@ -161,7 +161,7 @@
 
 // Choice
 
-bool rollout_control::spreads_runs(const service_id& service, session_hash session) const
+bool rollout_control::announces_runs(const service_id& service, session_hash session) const
 {
     const auto found = rollouts_.find(service);
     if (found == rollouts_.end() || found->second.order.revision == 0 || !is_running(found->second))
@@ -286,14 +286,14 @@
     return found == rollouts_.end() || found->second.order.revision == 0 ? nullptr : &found->second.record;
 }
 
-std::optional<rollout_standing> rollout_control::standing(const service_id& service) const
+std::optional<rollout_status> rollout_control::status(const service_id& service) const
 {
     const auto found = rollouts_.find(service);
     if (found == rollouts_.end())
         return std::nullopt;
     const auto& it = found->second;
-    return rollout_standing{it.order,         it.record,      it.is_bad,
-                            it.trial.fresh(), it.trial.old(), it.trial.peer_count()};
+    return rollout_status{it.order,         it.record,      it.is_bad,
+                          it.trial.fresh(), it.trial.old(), it.trial.peer_count()};
 }
 
 } // namespace runlink::routing
--- a/src/runlink/routing/rollout_schedule.cpp
+++ b/src/runlink/routing/rollout_schedule.cpp
@@ -29,7 +29,7 @@
 
 core::milliseconds rollout_schedule::reserve(core::milliseconds allowed) const
 {
-    return std::min(options_.reserve, part_of(allowed, options_.most_reserve));
+    return std::min(options_.reserve, part_of(allowed, options_.most_reserve_fraction));
 }
 
 core::milliseconds rollout_schedule::last_part(core::milliseconds allowed) const
@@ -52,7 +52,7 @@
         return std::max(end - last_part(it.allowed),
                         it.ordered_at + part_of(it.allowed, options_.hold_fraction));
     if (it.share_percent < options_.steps_percent.back())
-        return it.step_began + part_of(it.allowed, options_.step_time);
+        return it.step_began + part_of(it.allowed, options_.step_fraction);
     return std::max(end - reserve(it.allowed), it.step_began + options_.least_overlap);
 }
 
--- a/src/runlink/routing/routing_test.cpp
+++ b/src/runlink/routing/routing_test.cpp
@@ -35,7 +35,7 @@
 {
     endpoint_entry out;
     out.name = core::endpoint_name{id};
-    out.id = life_of(out.name, {});
+    out.id = endpoint_id_of(out.name, {});
     out.service = core::service_id{"s"};
     out.version = core::version_id{version};
     out.failure_domain = core::failure_domain_id{domain};
@@ -77,7 +77,7 @@
     endpoint_entry entry;
     entry.name = core::endpoint_name{"e1"};
     entry.incarnation = core::endpoint_incarnation{1};
-    entry.id = life_of(entry.name, entry.incarnation);
+    entry.id = endpoint_id_of(entry.name, entry.incarnation);
     entry.service = pool;
     it.put(entry);
     CHECK(it.mark_leaving(start, entry.id));
@@ -97,7 +97,7 @@
     CHECK(it.mark_leaving(start, core::endpoint_id{"e2"}));
     auto later_life = entry;
     later_life.incarnation = core::endpoint_incarnation{2};
-    later_life.id = life_of(entry.name, later_life.incarnation);
+    later_life.id = endpoint_id_of(entry.name, later_life.incarnation);
     CHECK(it.put(later_life) == endpoint_directory::change::restarted);
     CHECK(it.usable(start, pool).size() == 1);
     CHECK(it.put(entry) == endpoint_directory::change::outdated);
@@ -126,13 +126,13 @@
 TEST_CASE("an endpoint is a last resort for a while after its own announcement, not if listed as leaving")
 {
     directory_options options;
-    options.last_resort = milliseconds{1000};
+    options.last_resort_time = milliseconds{1000};
     endpoint_directory it{options};
     const service_id pool{"pool"};
     const time_point start{core::seconds{100}};
     endpoint_entry entry;
     entry.name = core::endpoint_name{"e1"};
-    entry.id = life_of(entry.name, {});
+    entry.id = endpoint_id_of(entry.name, {});
     entry.service = pool;
     it.put(entry);
     CHECK(it.last_resorts(start, pool).empty());
@@ -191,7 +191,7 @@
 TEST_CASE("a session's pin expires after its time to live since the last run")
 {
     session_pins it{milliseconds{5000}};
-    it.ran(start, session_hash{1}, core::version_id{"v1"});
+    it.record_run(start, session_hash{1}, core::version_id{"v1"});
     CHECK(it.find(start + milliseconds{5000}, session_hash{1})->str() == "v1");
     CHECK_FALSE(it.find(start + milliseconds{5001}, session_hash{1}));
     it.expire(start + milliseconds{5001});
@@ -206,10 +206,10 @@
     endpoint_chooser it{{}, core::failure_domain_id{"n"}};
     endpoint_need need;
     need.service = core::service_id{"s"};
-    it.not_reached(start, core::endpoint_id{"e1"});
+    it.connect_failed(start, core::endpoint_id{"e1"});
     for (int n = 0; n < 4; ++n)
         CHECK(it.choose(start, directory, need)->id.str() == "e2");
-    it.not_reached(start, core::endpoint_id{"e2"});
+    it.connect_failed(start, core::endpoint_id{"e2"});
     CHECK(it.choose(start, directory, need) != nullptr);
 }
 
--- a/src/runlink/routing/session_pins.cpp
+++ b/src/runlink/routing/session_pins.cpp
@@ -3,7 +3,7 @@
 namespace runlink::routing
 {
 
-void session_pins::ran(core::time_point now, session_hash session, const core::version_id& version)
+void session_pins::record_run(core::time_point now, session_hash session, const core::version_id& version)
 {
     pins_[session] = {version, now};
 }
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -13,11 +13,11 @@
 const std::vector<std::string> none;
 
 /// All endpoints but those that come 1.2 s later leave.
-statement_outcome replace_all(milliseconds last_resort)
+statement_outcome replace_all(milliseconds last_resort_time)
 {
     statement_case of;
     of.endpoints = 4;
-    of.last_resort = last_resort;
+    of.last_resort_time = last_resort_time;
     statement_fleet it{of};
     it.at(milliseconds{3000},
           [&it]
@@ -65,7 +65,7 @@
 
 TEST_CASE("endpoints that leave serve what fits nowhere else, until shortly before they may end")
 {
-    const auto out = replace_all(runlink::routing::directory_options{}.last_resort);
+    const auto out = replace_all(runlink::routing::directory_options{}.last_resort_time);
     CHECK(out.leaving_broken == none);
     for (int e = 0; e < 4; ++e)
         CHECK(out.arrivals_after(e, milliseconds{5000}) == 0);
--- a/tests/support/crash_fleet.cpp
+++ b/tests/support/crash_fleet.cpp
@@ -61,7 +61,7 @@
         endpoint it;
         it.entry.name = core::endpoint_name{"e" + std::to_string(n)};
         it.entry.incarnation = core::endpoint_incarnation{1};
-        it.entry.id = life_of(it.entry.name, it.entry.incarnation);
+        it.entry.id = endpoint_id_of(it.entry.name, it.entry.incarnation);
         it.entry.service = service;
         it.entry.version = version_id{"v1"};
         it.entry.failure_domain = core::failure_domain_id{std::to_string(n % failure_domains)};
@@ -355,7 +355,7 @@
     it.is_up = true;
     it.is_silent = false;
     it.entry.incarnation = core::endpoint_incarnation{it.entry.incarnation.value() + 1};
-    it.entry.id = life_of(it.entry.name, it.entry.incarnation);
+    it.entry.id = endpoint_id_of(it.entry.name, it.entry.incarnation);
     later(news_delay,
           [this, &it]
           {
--- a/tests/support/forwarding_declarations.cpp
+++ b/tests/support/forwarding_declarations.cpp
@@ -109,7 +109,7 @@
     out.crashes.memory = core::seconds{2};
     out.rollouts.schedule.settle_time = milliseconds{200};
     out.rollouts.schedule.reserve = milliseconds{300};
-    out.rollouts.schedule.most_reserve = 1;
+    out.rollouts.schedule.most_reserve_fraction = 1;
     out.rollouts.schedule.first_share_percent = 50;
     out.rollouts.schedule.exposure_share = 1;
     out.rollouts.write_spread = milliseconds{20};
--- a/tests/support/forwarding_history.cpp
+++ b/tests/support/forwarding_history.cpp
@@ -44,7 +44,7 @@
     for (int n = 0; n < endpoint_count; ++n)
     {
         entries_[n].name = core::endpoint_name{"e" + std::to_string(n)};
-        entries_[n].id = life_of(entries_[n].name, {});
+        entries_[n].id = endpoint_id_of(entries_[n].name, {});
         entries_[n].service = declared_service();
         entries_[n].version = core::version_id{"v0"};
         entries_[n].failure_domain = core::failure_domain_id{"d" + std::to_string(n % 3)};
@@ -102,7 +102,7 @@
 
 std::optional<core::version_id> forwarding_history::bad_version()
 {
-    const auto it = forwarder_.rollouts().standing(declared_service());
+    const auto it = forwarder_.rollouts().status(declared_service());
     if (!it || it->order.revision == 0 || it->record.state == rollout_state::succeeded)
         return std::nullopt;
     const bool is_bad = it->is_bad || it->record.state == rollout_state::rolled_back;
@@ -272,7 +272,7 @@
 void forwarding_history::begin_life(endpoint_entry& it)
 {
     it.incarnation = core::endpoint_incarnation{it.incarnation.value() + 1};
-    it.id = life_of(it.name, it.incarnation);
+    it.id = endpoint_id_of(it.name, it.incarnation);
     it.leaving = false;
     if (pick(2) == 0)
         it.version = pick_version();
--- a/tests/support/forwarding_script.cpp
+++ b/tests/support/forwarding_script.cpp
@@ -100,11 +100,11 @@
                                           {core::failure_domain_id{"south"}, core::region_id{"there"}}}};
         out.rollouts.schedule.settle_time = milliseconds{500};
         out.rollouts.write_spread = milliseconds{1};
-        out.rollouts.schedule.step_time = 0.125;
+        out.rollouts.schedule.step_fraction = 0.125;
         out.rollouts.schedule.reserve = milliseconds{500};
         out.rollouts.schedule.first_share_percent = 50;
         out.rollouts.schedule.steps_percent = {100};
-        out.rollouts.schedule.most_reserve = 1;
+        out.rollouts.schedule.most_reserve_fraction = 1;
         out.rollouts.schedule.exposure_share = 1;
         out.rollouts.least_answers = 0;
         return out;
@@ -203,7 +203,7 @@
         endpoint_entry it;
         it.name = core::endpoint_name{all.at(1)};
         it.incarnation = core::endpoint_incarnation{std::stoull(option(all, "life", "0"))};
-        it.id = life_of(it.name, it.incarnation);
+        it.id = endpoint_id_of(it.name, it.incarnation);
         it.service = core::service_id{all.at(2)};
         it.version = core::version_id{option(all, "version", "v1")};
         it.failure_domain = core::failure_domain_id{option(all, "domain", "north")};
--- a/tests/support/rollout_fleet.cpp
+++ b/tests/support/rollout_fleet.cpp
@@ -170,7 +170,7 @@
     {
         endpoint_entry it;
         it.name = core::endpoint_name{version + "-" + std::to_string(n)};
-        it.id = life_of(it.name, {});
+        it.id = endpoint_id_of(it.name, {});
         it.service = service;
         it.version = version_id{version};
         it.failure_domain = core::failure_domain_id{std::to_string(n % 3)};
--- a/tests/support/statement_fleet.cpp
+++ b/tests/support/statement_fleet.cpp
@@ -61,7 +61,7 @@
 {
     endpoint_entry out;
     out.name = core::endpoint_name{"e" + std::to_string(n)};
-    out.id = life_of(out.name, {});
+    out.id = endpoint_id_of(out.name, {});
     out.service = app;
     out.version = core::version_id{"v1"};
     out.failure_domain = core::failure_domain_id{std::to_string(n % 3)};
@@ -99,7 +99,7 @@
     it.attempts.clear();
     record_.forget(n);
     forwarder_options options;
-    options.directory.last_resort = case_.last_resort;
+    options.directory.last_resort_time = case_.last_resort_time;
     it.forwarder = std::make_unique<request_forwarder>(
         options, core::failure_domain_id{std::to_string(n % 3)}, instance_id(n), hooks(n));
     it.forwarder->apply(make_table());
--- a/tests/support/statement_fleet.hpp
+++ b/tests/support/statement_fleet.hpp
@@ -37,7 +37,7 @@
     milliseconds connect_time{0}; ///< at most, before a request is written
     milliseconds datagram_delay{5};
     double datagrams_lost = 0;
-    milliseconds last_resort = routing::directory_options{}.last_resort;
+    milliseconds last_resort_time = routing::directory_options{}.last_resort_time;
     int repeats_one_in = 0; ///< answers that are failures, which are asked again elsewhere
 };
 
