--- a/include/runlink/routing/admission.hpp
+++ b/include/runlink/routing/admission.hpp
@@ -34,8 +34,9 @@
 
     /// Returns the retry delay if the request cannot start before its deadline, nothing if it can. `wait` is
     /// the backlog of the endpoint that the request would be sent to.
-    std::optional<core::milliseconds> refuse_for(core::duration wait, core::milliseconds time_left,
-                                                 std::uint64_t request_hash) const;
+    std::optional<core::milliseconds> retry_after_if_overloaded(core::duration wait,
+                                                                core::milliseconds time_left,
+                                                                std::uint64_t request_hash) const;
     /// Returns the retry delay for a send slot that opens after `wait`: at least `wait`, plus the spread.
     core::milliseconds uncapped_retry_after(core::duration wait, std::uint64_t request_hash) const;
     /// Returns the retry delay for a backlog that drains within `wait`; `wait` is capped at
--- a/include/runlink/routing/forwarder_hooks.hpp
+++ b/include/runlink/routing/forwarder_hooks.hpp
@@ -78,18 +78,18 @@
     std::function<void(flow_id)> break_off;
     std::function<void(flow_id, const refusal&)> refuse;
     /// Announces to other instances that a session ran that belongs to the first share of a roll-out.
-    std::function<void(const session_run&)> session_ran;
+    std::function<void(const session_run&)> announce_session_run;
     /// Announces to other instances that a prompt was sent to an endpoint.
-    std::function<void(const prompt_sent&)> prompt_went;
+    std::function<void(const prompt_sent&)> announce_prompt_sent;
     /// Announces to other instances that an endpoint began to answer a prompt.
-    std::function<void(const prompt_answered&)> prompt_came;
+    std::function<void(const prompt_answered&)> announce_prompt_answered;
     /// Announces endpoint crashes to other instances.
-    std::function<void(const crashes::crash_message&)> crash_seen = [](const auto&) {};
+    std::function<void(const crashes::crash_message&)> announce_crashes = [](const auto&) {};
     /// Announces rate limits stated by endpoints to the instances in `to`, or to all if `to` is empty.
     std::function<void(const std::vector<core::instance_id>& to, const std::vector<places::limit_report>&)>
-        tell_limits = [](const auto&, const auto&) {};
+        announce_limits = [](const auto&, const auto&) {};
     /// Announces to all other instances that endpoints are leaving.
-    std::function<void(const leaving_notices&)> tell_leaving = [](const auto&) {};
+    std::function<void(const leaving_notices&)> announce_leaving = [](const auto&) {};
     /// This instance found a request to crash endpoints. The finding is to be stored so that it survives this
     /// instance.
     std::function<void(crashes::request_fingerprint)> found_harmful = [](auto) {};
--- a/include/runlink/routing/forwarder_options.hpp
+++ b/include/runlink/routing/forwarder_options.hpp
@@ -37,7 +37,7 @@
     /// Most attempts of one request of which no byte was sent, such as failed connections.
     std::uint32_t max_unsent_attempts = 6;
     /// Remaining time at or below which a request is neither admitted nor retried.
-    milliseconds least_time{20};
+    milliseconds min_time_left{20};
     /// Fraction of the target latency after which a safe request is hedged at a second endpoint.
     double hedge_after = 0.5;
     /// Multiple of the target latency without a stream head after which the stream moves to another endpoint.
@@ -55,7 +55,7 @@
     places::endpoint_bound_options bounds;
     crashes::attribution_options crashes;
     /// Longest time that a suspected request waits for its turn to run in isolation.
-    milliseconds most_hold{2000};
+    milliseconds max_hold_time{2000};
     milliseconds hold_interval{20}; ///< between two checks whether a held request may be sent
     /// Interval between two checks whether attempts at ended endpoints may be replaced.
     milliseconds replace_interval{100};
--- a/include/runlink/routing/liveness.hpp
+++ b/include/runlink/routing/liveness.hpp
@@ -14,8 +14,8 @@
 {
     /// Silence of an endpoint with a pending request after which the endpoint is probed. Working engines send
     /// tokens every 20 to 100 ms, or take about this long to read a long prompt.
-    milliseconds ask_after{400};
-    milliseconds ask_interval{600}; ///< between two probes of one endpoint
+    milliseconds probe_after{400};
+    milliseconds probe_interval{600}; ///< between two probes of one endpoint
 };
 
 /// Records when each endpoint was last heard from and last probed. A probe only opens a connection: it is
--- a/include/runlink/routing/messages.hpp
+++ b/include/runlink/routing/messages.hpp
@@ -63,7 +63,7 @@
     core::milliseconds time_left{};
     std::optional<std::uint64_t> last_event;
     bool runs_models = false;
-    bool fresh_connection =
+    bool needs_new_connection =
         false; ///< no pooled connection, which may be closing: for requests that may run only once
 };
 
--- a/include/runlink/routing/request_forwarder.hpp
+++ b/include/runlink/routing/request_forwarder.hpp
@@ -104,7 +104,7 @@
     /// Another instance reports rate limits stated by endpoints.
     void on_limits_told(time_point now, const places::limit_reports& it);
     /// The result of a probe started by `forwarder_hooks::ask`.
-    void on_asked(time_point now, const endpoint_id& id, core::contact what);
+    void on_probe_result(time_point now, const endpoint_id& id, core::contact what);
     /// A session ran at another instance.
     void on_peer_run(time_point now, const session_run& it) { pins_.record_run(now, it.session, it.version); }
 
@@ -260,10 +260,10 @@
     void end_wait(flow& it);
     static slot_queue::entry queue_entry_of(const flow& it) { return {it.priority, it.arrived, it.id}; }
     /// Announces changed limits that are due to other instances.
-    void tell_limits(time_point now);
+    void announce_limits(time_point now);
     void mark_leaving(time_point now, const endpoint_id& id, milliseconds age, std::string_view source);
     leaving_notice notice_of(time_point now, const endpoint_id& id) const;
-    void tell_leaving(time_point now);
+    void announce_leaving(time_point now);
     void log_statement(std::string_view event, const endpoint_id& id, std::string_view reason);
     void log_rest(const endpoint_id& id, duration rest);
     void log_limit(const endpoint_id& id, places::limit_change what, std::string_view source,
--- a/include/runlink/routing/retry_allowance.hpp
+++ b/include/runlink/routing/retry_allowance.hpp
@@ -29,7 +29,7 @@
 public:
     explicit retry_allowance(retry_options options = {}) : options_{options} {}
 
-    void on_first(core::time_point now);
+    void on_first_dispatch(core::time_point now);
     /// Consumes one retry. Returns false if none is left.
     bool try_take(core::time_point now);
     /// Retries left in the window; may be negative.
--- a/include/runlink/routing/start_queue.hpp
+++ b/include/runlink/routing/start_queue.hpp
@@ -17,10 +17,10 @@
 {
     /// Time after the start of the process during which requests are queued. A process without configuration
     /// by then is unlikely to get one soon and refuses requests.
-    milliseconds patience{1500};
+    milliseconds open_for{1500};
     /// Longest wait of one request. A start takes about half of it; after a longer wait the caller does
     /// better at another instance.
-    milliseconds longest_wait{700};
+    milliseconds max_wait{700};
     /// Fraction of the caller's remaining time that a request may wait, so that after a refusal there is time
     /// left for another instance.
     double time_left_share = 0.3;
@@ -48,7 +48,7 @@
     };
 
     /// The process has started, or resumes after a suspension.
-    void open(time_point now) { open_until_ = now + options_.patience; }
+    void open(time_point now) { open_until_ = now + options_.open_for; }
     /// Queues the request and returns true, or returns false if the queue is closed or full.
     bool try_hold(time_point now, time_point arrived, flow_id id, inbound_request& request);
     /// Removes the request of a caller that has left. Returns whether it was queued.
--- a/include/runlink/routing/succession.hpp
+++ b/include/runlink/routing/succession.hpp
@@ -53,7 +53,7 @@
     std::uint32_t runs_left = 1;  ///< attempts that may run
     std::uint32_t sends_left = 1; ///< attempts of any outcome
     core::duration time_left{};
-    core::milliseconds least_time{}; ///< no attempt is sent with this time left or less
+    core::milliseconds min_time_left{}; ///< no attempt is sent with this time left or less
     key_state key = key_state::valid;
     crashes::permission content = crashes::permission::free;
     bool costs_allowance = true; ///< the attempt counts as a retry
--- a/src/runlink/routing/admission.cpp
+++ b/src/runlink/routing/admission.cpp
@@ -6,8 +6,9 @@
 namespace runlink::routing
 {
 
-std::optional<core::milliseconds> admission::refuse_for(core::duration wait, core::milliseconds time_left,
-                                                        std::uint64_t request_hash) const
+std::optional<core::milliseconds> admission::retry_after_if_overloaded(core::duration wait,
+                                                                       core::milliseconds time_left,
+                                                                       std::uint64_t request_hash) const
 {
     if (wait < time_left)
         return std::nullopt;
--- a/src/runlink/routing/harmful_request_test.cpp
+++ b/src/runlink/routing/harmful_request_test.cpp
@@ -70,9 +70,9 @@
         out.forward_end = [](flow_id) {};
         out.break_off = [](flow_id) {};
         out.refuse = [this](flow_id, const refusal& e) { refusals.push_back(e); };
-        out.session_ran = [](const session_run&) {};
-        out.prompt_went = [](const prompt_sent&) {};
-        out.prompt_came = [](const prompt_answered&) {};
+        out.announce_session_run = [](const session_run&) {};
+        out.announce_prompt_sent = [](const prompt_sent&) {};
+        out.announce_prompt_answered = [](const prompt_answered&) {};
         out.found_harmful = [this](crashes::request_fingerprint e) { found.push_back(e); };
         out.log = [](const decision&) {};
         out.ended = [](const decision&, core::duration) {};
@@ -110,7 +110,7 @@
     {
         const auto at = starts.back().endpoint.id;
         run_and_break();
-        forwarder.on_asked(now, at, core::contact::refused);
+        forwarder.on_probe_result(now, at, core::contact::refused);
         advance(milliseconds{30});
     }
 };
--- a/src/runlink/routing/liveness.cpp
+++ b/src/runlink/routing/liveness.cpp
@@ -6,8 +6,8 @@
 bool liveness::try_probe(time_point now, const endpoint_id& id)
 {
     auto& it = records_[id];
-    const bool was_heard = it.heard != time_point::min() && now - it.heard < options_.ask_after;
-    const bool was_asked = it.asked != time_point::min() && now - it.asked < options_.ask_interval;
+    const bool was_heard = it.heard != time_point::min() && now - it.heard < options_.probe_after;
+    const bool was_asked = it.asked != time_point::min() && now - it.asked < options_.probe_interval;
     if (was_heard || was_asked)
         return false;
     it.asked = now;
--- a/src/runlink/routing/placement_test.cpp
+++ b/src/runlink/routing/placement_test.cpp
@@ -314,10 +314,10 @@
 TEST_CASE("a request whose wait exceeds its deadline is refused at once, with a varying retry time")
 {
     const admission it;
-    CHECK_FALSE(it.refuse_for({}, milliseconds{20}, 1));
-    CHECK_FALSE(it.refuse_for(milliseconds{1999}, milliseconds{2000}, 1));
-    const auto first = it.refuse_for(milliseconds{2000}, milliseconds{2000}, 0);
-    const auto second = it.refuse_for(milliseconds{2000}, milliseconds{2000}, 512);
+    CHECK_FALSE(it.retry_after_if_overloaded({}, milliseconds{20}, 1));
+    CHECK_FALSE(it.retry_after_if_overloaded(milliseconds{1999}, milliseconds{2000}, 1));
+    const auto first = it.retry_after_if_overloaded(milliseconds{2000}, milliseconds{2000}, 0);
+    const auto second = it.retry_after_if_overloaded(milliseconds{2000}, milliseconds{2000}, 512);
     REQUIRE(first);
     REQUIRE(second);
     CHECK(*first == milliseconds{2000});
--- a/src/runlink/routing/request_forwarder.cpp
+++ b/src/runlink/routing/request_forwarder.cpp
@@ -62,7 +62,7 @@
     // before its first share, and then continue at an instance that would take it for a new session.
     for (const auto& it : pins_.all(now))
         if (rollouts_.announces_runs(order.service, it.session))
-            hooks_.session_ran(it);
+            hooks_.announce_session_run(it);
 }
 
 void request_forwarder::on_caller_left(time_point now, flow_id id)
@@ -139,14 +139,14 @@
     order.last_event = request_flow.last_event;
     const auto* service = table_->find_service(request_flow.service);
     order.runs_models = service != nullptr && service->runs_models;
-    order.fresh_connection = !request_flow.matched_route->is_idempotent();
+    order.needs_new_connection = !request_flow.matched_route->is_idempotent();
     order.model = model_of(request_flow);
     ++request_flow.sends;
     ++counters_.attempts;
     request_flow.tried.insert(endpoint.id);
     request_flow.attempts.insert(order.id);
     request_flow.last_progress = now;
-    request_flow.probe_at = now + liveness_.options().ask_after;
+    request_flow.probe_at = now + liveness_.options().probe_after;
     attempt record;
     record.flow = request_flow.id;
     record.endpoint = endpoint.id;
@@ -231,7 +231,7 @@
         return;
     pins_.record_run(now, it.session, version);
     if (rollouts_.announces_runs(it.service, it.session))
-        hooks_.session_ran({it.session, version});
+        hooks_.announce_session_run({it.session, version});
 }
 
 request_forwarder::flow* request_forwarder::find(attempt_id id)
--- a/src/runlink/routing/request_forwarder_answers.cpp
+++ b/src/runlink/routing/request_forwarder_answers.cpp
@@ -99,7 +99,7 @@
     from.has_ended = false;
     liveness_.heard(now, from.endpoint);
     bounds_.rests().on_accepted(from.endpoint, from.started);
-    it->probe_at = now + liveness_.options().ask_after;
+    it->probe_at = now + liveness_.options().probe_after;
     if (!head.is_sealed)
     {
         sample_end(now, *it, from, true);
@@ -185,7 +185,7 @@
     from.is_stalled = false;
     liveness_.heard(now, from.endpoint);
     it->last_progress = now;
-    it->probe_at = now + liveness_.options().ask_after;
+    it->probe_at = now + liveness_.options().probe_after;
     cancel_others(now, *it, id);
     if (event_id && it->last_event && *event_id <= *it->last_event)
         return; // the caller already has this event
--- a/src/runlink/routing/request_forwarder_arrival.cpp
+++ b/src/runlink/routing/request_forwarder_arrival.cpp
@@ -67,7 +67,7 @@
         return hooks_.refuse(id, *why);
     }
     auto& kept = flows_.emplace(id, std::move(it)).first->second;
-    retries_.try_emplace(kept.service, options_.retries).first->second.on_first(now);
+    retries_.try_emplace(kept.service, options_.retries).first->second.on_first_dispatch(now);
     const auto first = plan_successor(now, kept, false);
     if (first)
         send(now, kept, first.value());
@@ -104,7 +104,7 @@
     request_flow.deadline =
         request_flow.arrived + std::min(request_flow.request.time_left, request_flow.matched_route->timeout);
     const auto time = std::chrono::floor<milliseconds>(request_flow.deadline - now);
-    if (time <= options_.least_time)
+    if (time <= options_.min_time_left)
         return unavailable(core::errc::deadline_exceeded, "arrival");
     if (stop_ && now >= stop_->closed_from && request_flow.deadline > stop_->end)
         return unavailable(core::errc::stopping, "instance");
@@ -118,8 +118,8 @@
     const auto expected = expected_prompt(now, request_flow);
     if (!expected)
         return std::nullopt;
-    const auto come_back =
-        admission_.refuse_for(expected->wait, time, core::stable_hash(request_flow.request.id.str()));
+    const auto come_back = admission_.retry_after_if_overloaded(
+        expected->wait, time, core::stable_hash(request_flow.request.id.str()));
     if (!come_back)
         return std::nullopt;
     return refusal{status_unavailable, true, {core::errc::overloaded, "backlog", come_back}};
@@ -237,7 +237,7 @@
     if (!placement.should_announce(out))
         return out;
     ++counters_.prompts_told;
-    hooks_.prompt_went({out.endpoint, need->shared, std::chrono::ceil<milliseconds>(out.work)});
+    hooks_.announce_prompt_sent({out.endpoint, need->shared, std::chrono::ceil<milliseconds>(out.work)});
     return out;
 }
 
@@ -246,7 +246,8 @@
     if (!it.prompt)
         return;
     chooser_.placement().answered(now, *it.prompt);
-    hooks_.prompt_came({it.prompt->endpoint, std::chrono::floor<milliseconds>(now - it.prompt->sent_at)});
+    hooks_.announce_prompt_answered(
+        {it.prompt->endpoint, std::chrono::floor<milliseconds>(now - it.prompt->sent_at)});
     it.prompt.reset();
 }
 
--- a/src/runlink/routing/request_forwarder_crashes.cpp
+++ b/src/runlink/routing/request_forwarder_crashes.cpp
@@ -13,7 +13,7 @@
 crashes::crash_attribution::hooks request_forwarder::attribution_hooks()
 {
     crashes::crash_attribution::hooks out;
-    out.broadcast = [this](const crashes::crash_message& it) { hooks_.crash_seen(it); };
+    out.broadcast = [this](const crashes::crash_message& it) { hooks_.announce_crashes(it); };
     out.ended = [this](time_point now, crashes::endpoint_id_hash it) { on_endpoint_ended(now, it); };
     out.suspected = [this](time_point now, crashes::request_fingerprint it)
     {
@@ -126,7 +126,7 @@
         next.error() == succession_denial::suspected || next.error() == succession_denial::allowance_spent;
     if (waits_for_slot)
         wait_for_slot(now, it);
-    if (waits_for_slot || (waits_for_turn && now - *it.held_since < options_.most_hold))
+    if (waits_for_slot || (waits_for_turn && now - *it.held_since < options_.max_hold_time))
     {
         it.last_progress = now;
         return arm(it, next_check(it));
--- a/src/runlink/routing/request_forwarder_places.cpp
+++ b/src/runlink/routing/request_forwarder_places.cpp
@@ -46,7 +46,7 @@
     const auto late_at = it.head_forwarded
                              ? it.held_since.value_or(it.last_progress) + it.matched_route->target_gap
                              : it.arrived + it.matched_route->target_latency;
-    return at && *at < std::min<time_point>(late_at, it.deadline - options_.least_time);
+    return at && *at < std::min<time_point>(late_at, it.deadline - options_.min_time_left);
 }
 
 void request_forwarder::wait_for_slot(time_point now, flow& it)
--- a/src/runlink/routing/request_forwarder_statements.cpp
+++ b/src/runlink/routing/request_forwarder_statements.cpp
@@ -98,14 +98,14 @@
     return out;
 }
 
-void request_forwarder::tell_leaving(time_point now)
+void request_forwarder::announce_leaving(time_point now)
 {
     leaving_notices out;
     for (const auto& id : leaving_news_.take_due(now))
         if (endpoints_.leaving_marks().contains(id))
             out.notices.push_back(notice_of(now, id));
     if (!out.notices.empty())
-        hooks_.tell_leaving(out);
+        hooks_.announce_leaving(out);
 }
 
 // Limits
@@ -138,17 +138,17 @@
     hooks_.log(line);
 }
 
-void request_forwarder::tell_limits(time_point now)
+void request_forwarder::announce_limits(time_point now)
 {
     const auto due = bounds_.limits().take_due(now);
     std::vector<places::limit_report> for_all;
     for (const auto& id : due.to_all)
         for_all.push_back(bounds_.limits().report(now, id));
     if (!for_all.empty())
-        hooks_.tell_limits({}, for_all);
+        hooks_.announce_limits({}, for_all);
     for (const auto& id : due.to_senders)
         if (const auto to = bounds_.limits().other_senders(id); !to.empty())
-            hooks_.tell_limits(to, {bounds_.limits().report(now, id)});
+            hooks_.announce_limits(to, {bounds_.limits().report(now, id)});
 }
 
 } // namespace runlink::routing
--- a/src/runlink/routing/request_forwarder_succession.cpp
+++ b/src/runlink/routing/request_forwarder_succession.cpp
@@ -32,7 +32,7 @@
     out.sends_left = std::min(left(options_.max_sends, it.sends - it.unsent),
                               left(options_.max_unsent_attempts, it.unsent));
     out.time_left = it.deadline - now;
-    out.least_time = options_.least_time;
+    out.min_time_left = options_.min_time_left;
     out.key = key_state_of(now, it);
     out.content = content_permission(now, it);
     out.costs_allowance = costs_allowance;
--- a/src/runlink/routing/request_forwarder_timers.cpp
+++ b/src/runlink/routing/request_forwarder_timers.cpp
@@ -53,7 +53,7 @@
 
 void request_forwarder::probe_endpoints(time_point now, flow& it)
 {
-    it.probe_at = now + liveness_.options().ask_interval;
+    it.probe_at = now + liveness_.options().probe_interval;
     for (const auto id : it.attempts)
     {
         const auto& from = attempts_.at(id);
@@ -66,7 +66,7 @@
     arm(it, next_check(it));
 }
 
-void request_forwarder::on_asked(time_point now, const endpoint_id& id, core::contact what)
+void request_forwarder::on_probe_result(time_point now, const endpoint_id& id, core::contact what)
 {
     if (what == core::contact::answered)
     {
@@ -92,7 +92,7 @@
         const auto& of = flows_.at(it.flow);
         const auto last = std::max({of.last_progress, it.started, liveness_.last_heard(id)});
         if (it.endpoint == id && it.may_have_run && of.matched_route->is_idempotent() &&
-            now - last >= liveness_.options().ask_after)
+            now - last >= liveness_.options().probe_after)
             silent.push_back(attempt);
     }
     for (const auto attempt : silent)
@@ -161,8 +161,8 @@
 {
     attribution_.tick(now);
     apply_verdicts(now);
-    tell_limits(now);
-    tell_leaving(now);
+    announce_limits(now);
+    announce_leaving(now);
     if (start_queue_.size() > 0)
         process_start_queue(now);
     while (!timers_.empty() && timers_.begin()->first <= now)
--- a/src/runlink/routing/retry_allowance.cpp
+++ b/src/runlink/routing/retry_allowance.cpp
@@ -13,7 +13,7 @@
     return it;
 }
 
-void retry_allowance::on_first(core::time_point now)
+void retry_allowance::on_first_dispatch(core::time_point now)
 {
     ++at(now).firsts;
 }
--- a/src/runlink/routing/routing_test.cpp
+++ b/src/runlink/routing/routing_test.cpp
@@ -175,7 +175,7 @@
     {
         if (n % 3 == 0)
         {
-            it.on_first(now);
+            it.on_first_dispatch(now);
             firsts.push_back(now);
         }
         if (it.try_take(now))
--- a/src/runlink/routing/start_queue.cpp
+++ b/src/runlink/routing/start_queue.cpp
@@ -12,7 +12,7 @@
     if (!open_until_ || now >= *open_until_ || queue_.size() >= options_.max_requests)
         return false;
     const auto part = static_cast<double>(request.time_left.count()) * options_.time_left_share;
-    const auto wait = std::min(options_.longest_wait, milliseconds{static_cast<milliseconds::rep>(part)});
+    const auto wait = std::min(options_.max_wait, milliseconds{static_cast<milliseconds::rep>(part)});
     queue_.push_back({id, arrived, std::min(now + wait, *open_until_), std::move(request)});
     return true;
 }
--- a/src/runlink/routing/succession.cpp
+++ b/src/runlink/routing/succession.cpp
@@ -33,7 +33,7 @@
         return succession_denial::may_run_once;
     if (it.runs_left == 0 || it.sends_left == 0)
         return succession_denial::attempts_spent;
-    if (it.time_left <= it.least_time)
+    if (it.time_left <= it.min_time_left)
         return succession_denial::time_spent;
     if (it.key == key_state::removed)
         return succession_denial::key_removed;
--- a/tests/support/crash_fleet.cpp
+++ b/tests/support/crash_fleet.cpp
@@ -145,10 +145,10 @@
     to.forward_end = [this, n](flow_id it) { on_over(n, it, true, nullptr); };
     to.break_off = [this, n](flow_id it) { on_over(n, it, false, nullptr); };
     to.refuse = [this, n](flow_id it, const refusal& why) { on_over(n, it, false, &why); };
-    to.session_ran = [](const session_run&) {};
-    to.prompt_went = [](const prompt_sent&) {};
-    to.prompt_came = [](const prompt_answered&) {};
-    to.crash_seen = [this, n](const crashes::crash_message& it) { tell(n, it); };
+    to.announce_session_run = [](const session_run&) {};
+    to.announce_prompt_sent = [](const prompt_sent&) {};
+    to.announce_prompt_answered = [](const prompt_answered&) {};
+    to.announce_crashes = [this, n](const crashes::crash_message& it) { tell(n, it); };
     to.found_harmful = [this](crashes::request_fingerprint it) { record(it); };
     to.log = [](const decision&) {};
     to.ended = [](const decision&, core::duration) {};
@@ -389,7 +389,7 @@
           {
               auto& by = instances_[static_cast<std::size_t>(n)];
               if (by.generation == generation)
-                  by.forwarder->on_asked(now_, id, what);
+                  by.forwarder->on_probe_result(now_, id, what);
           });
 }
 
--- a/tests/support/forwarding_declarations.cpp
+++ b/tests/support/forwarding_declarations.cpp
@@ -88,11 +88,11 @@
     out.key_grace = milliseconds{500};
     out.max_denial_age = milliseconds{200};
     out.session_ttl = milliseconds{1000};
-    out.most_hold = milliseconds{300};
-    out.liveness.ask_after = milliseconds{80};
-    out.liveness.ask_interval = milliseconds{120};
-    out.start.patience = milliseconds{200};
-    out.start.longest_wait = milliseconds{100};
+    out.max_hold_time = milliseconds{300};
+    out.liveness.probe_after = milliseconds{80};
+    out.liveness.probe_interval = milliseconds{120};
+    out.start.open_for = milliseconds{200};
+    out.start.max_wait = milliseconds{100};
     out.retries.window = core::seconds{1};
     if (seed % 2 == 0)
         out.retries = {core::seconds{1}, 0.2, 1};
--- a/tests/support/forwarding_history.cpp
+++ b/tests/support/forwarding_history.cpp
@@ -291,13 +291,13 @@
     const core::contact all[] = {core::contact::answered, core::contact::answered, core::contact::silent,
                                  core::contact::refused};
     const auto what = all[pick(4)];
-    tell("asked", [&] { forwarder_.on_asked(now_, id, what); });
+    tell("asked", [&] { forwarder_.on_probe_result(now_, id, what); });
 }
 
 void forwarding_history::end_endpoint()
 {
     const auto id = entries_[static_cast<int>(pick(endpoint_count))].id;
-    tell("own end", [&] { forwarder_.on_asked(now_, id, core::contact::refused); });
+    tell("own end", [&] { forwarder_.on_probe_result(now_, id, core::contact::refused); });
 }
 
 void forwarding_history::change_limit()
--- a/tests/support/forwarding_script.cpp
+++ b/tests/support/forwarding_script.cpp
@@ -130,7 +130,7 @@
                 os << " account=" << it.account;
             if (it.last_event)
                 os << " after=" << *it.last_event;
-            if (it.fresh_connection)
+            if (it.needs_new_connection)
                 os << " fresh";
             os << " left=" << it.time_left.count() << "\n";
         };
@@ -155,10 +155,10 @@
                 out << " after=" << why.why.retry_after->count();
             out << "\n";
         };
-        to.session_ran = [this](const session_run& it)
+        to.announce_session_run = [this](const session_run& it)
         { trace() << "tell peers: ran on " << it.version << "\n"; };
-        to.prompt_went = [](const prompt_sent&) {};
-        to.prompt_came = [](const prompt_answered&) {};
+        to.announce_prompt_sent = [](const prompt_sent&) {};
+        to.announce_prompt_answered = [](const prompt_answered&) {};
         to.log = [](const decision&) {};
         to.ended = [](const decision&, core::duration) {};
         return to;
@@ -386,7 +386,7 @@
              const auto what = has(all, "answered")  ? core::contact::answered
                                : has(all, "refused") ? core::contact::refused
                                                      : core::contact::silent;
-             forwarder_.on_asked(now_, core::endpoint_id{all.at(1)}, what);
+             forwarder_.on_probe_result(now_, core::endpoint_id{all.at(1)}, what);
          }},
         {"suspected", [this](const words& all) { suspect(all); }},
         {"condemned", [this](const words& all) { condemn(all); }},
--- a/tests/support/forwarding_witness.cpp
+++ b/tests/support/forwarding_witness.cpp
@@ -12,7 +12,7 @@
 
 forwarding_witness::forwarding_witness(const forwarder_options& options, surroundings around)
     : key_grace_{options.key_grace}, max_key_age_{options.max_key_age.value()},
-      max_denial_age_{options.max_denial_age}, least_time_{options.least_time}, around_{std::move(around)}
+      max_denial_age_{options.max_denial_age}, least_time_{options.min_time_left}, around_{std::move(around)}
 {
 }
 
@@ -63,9 +63,9 @@
         }
     };
     to.ask = [this](const endpoint_entry& it) { asked_.push_back(it.id); };
-    to.session_ran = [](const session_run&) {};
-    to.prompt_went = [](const prompt_sent&) {};
-    to.prompt_came = [](const prompt_answered&) {};
+    to.announce_session_run = [](const session_run&) {};
+    to.announce_prompt_sent = [](const prompt_sent&) {};
+    to.announce_prompt_answered = [](const prompt_answered&) {};
     to.log = [this](const decision& it) { on_log(it); };
     to.ended = [](const decision&, core::duration) {};
     return to;
--- a/tests/support/rollout_fleet.cpp
+++ b/tests/support/rollout_fleet.cpp
@@ -128,8 +128,8 @@
     {
         later(way,
               [this, n, id = it.id] {
-                  instances_[static_cast<std::size_t>(n)].forwarder->on_asked(now_, id,
-                                                                              core::contact::answered);
+                  instances_[static_cast<std::size_t>(n)].forwarder->on_probe_result(now_, id,
+                                                                                     core::contact::answered);
               });
     };
     to.forward_answer = [](flow_id, core::attempt_id) {};
@@ -142,18 +142,18 @@
         ++outcome_.unserved;
     };
     to.refuse = [this](flow_id, const refusal&) { ++outcome_.unserved; };
-    to.session_ran = [this, n](const session_run& it)
+    to.announce_session_run = [this, n](const session_run& it)
     {
         instances_[static_cast<std::size_t>(n)].runs.push_back(it);
         tell(n);
     };
-    to.prompt_went = [this, n](const prompt_sent& it)
+    to.announce_prompt_sent = [this, n](const prompt_sent& it)
     {
         for (int to = 0; to < case_.instances; ++to)
             if (to != n)
                 instances_[static_cast<std::size_t>(to)].forwarder->on_peer_prompt(now_, it);
     };
-    to.prompt_came = [this, n](const prompt_answered& it)
+    to.announce_prompt_answered = [this, n](const prompt_answered& it)
     {
         for (int to = 0; to < case_.instances; ++to)
             if (to != n)
--- a/tests/support/statement_fleet.cpp
+++ b/tests/support/statement_fleet.cpp
@@ -164,12 +164,12 @@
         outcome_.put_off.push_back(*why.why.retry_after);
         outcome_.back_at.push_back(std::chrono::floor<milliseconds>(now_ - began_) + *why.why.retry_after);
     };
-    to.session_ran = [](const session_run&) {};
-    to.prompt_went = [](const prompt_sent&) {};
-    to.prompt_came = [](const prompt_answered&) {};
-    to.tell_limits = [this, n](const std::vector<core::instance_id>& ids,
-                               const std::vector<places::limit_report>& it) { tell(n, ids, it); };
-    to.tell_leaving = [this, n](const leaving_notices& it)
+    to.announce_session_run = [](const session_run&) {};
+    to.announce_prompt_sent = [](const prompt_sent&) {};
+    to.announce_prompt_answered = [](const prompt_answered&) {};
+    to.announce_limits = [this, n](const std::vector<core::instance_id>& ids,
+                                   const std::vector<places::limit_report>& it) { tell(n, ids, it); };
+    to.announce_leaving = [this, n](const leaving_notices& it)
     {
         send_datagram(
             n, [](int) { return true; },
