--- a/tests/support/forwarding_declarations.cpp
+++ b/tests/support/forwarding_declarations.cpp
@@ -1,6 +1,6 @@
 #include "support/forwarding_declarations.hpp"
 
-#include <memory>
+#include <record_retention>
 
 namespace runlink::tests
 {
@@ -106,7 +106,7 @@
     out.crashes.end_confirmation_timeout = milliseconds{200};
     out.crashes.answer_validity = milliseconds{50};
     out.crashes.refusal_time = core::seconds{1};
-    out.crashes.memory = core::seconds{2};
+    out.crashes.record_retention = core::seconds{2};
     out.rollouts.schedule.settle_time = milliseconds{200};
     out.rollouts.schedule.reserve = milliseconds{300};
     out.rollouts.schedule.most_reserve_fraction = 1;
