--- a/include/runlink/gateway/gateway.hpp
+++ b/include/runlink/gateway/gateway.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The edge of the forwarder: callers' connections on one side, endpoints' on the other.
+/// Connects a request forwarder to the network: HTTP connections from callers and to endpoints.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +23,19 @@
 
 using clock_source = std::function<core::time_point()>;
 
-/// Parameters of the edge.
+/// Timeouts and buffer limits of a `gateway`.
 struct gateway_options
 {
     core::milliseconds connect_timeout{250};
-    /// Bytes that wait for a caller who does not read, above which the caller counts as gone.
+    /// If more unsent bytes than this are buffered for a caller, its connection is reset.
     std::size_t max_unsent_bytes = 1024 * 1024;
-    /// An endpoint that takes no connection within this is not there: far above the way and back, and a lost
-    /// packet is sent again only after a second.
-    core::milliseconds ask_timeout{600};
-    core::milliseconds max_rest{1500}; ///< of a kept connection to an endpoint that is used again
+    /// A probed endpoint that accepts no connection within this time counts as unreachable. The timeout is
+    /// far above the round-trip time; a lost packet is retransmitted only after a second.
+    core::milliseconds probe_timeout{600};
+    core::milliseconds max_rest{1500}; ///< longest idle time after which a connection is reused
 };
 
-/// Serves callers through a forwarder.
+/// Accepts requests from callers, passes them to a forwarder, and sends its attempts to endpoints.
 class gateway
 {
 public:
@@ -44,28 +44,34 @@
     gateway(const gateway&) = delete;
     gateway& operator=(const gateway&) = delete;
 
-    /// What the forwarder is to be made with.
+    /// Hooks to construct the forwarder with.
     routing::forwarder_hooks hooks();
+    /// Sets the forwarder, which must outlive this object. Call before `listen`.
     void attach(routing::request_forwarder& it) { forwarder_ = &it; }
 
+    /// Returns the port in use, which the system chooses if `port` is 0.
     core::result<std::uint16_t> listen(const std::string& host, std::uint16_t port);
     net::http_listener& listener() { return listener_; }
     const net::connection_pool& pool() const { return pool_; }
-    /// Answers tell callers to close their connections from now on.
-    void begin_stop() { stopping_ = true; }
-    /// Called after each event that may have changed when the forwarder is due.
+    /// From now on, answers tell callers to close their connections.
+    void begin_stop() { is_stopping_ = true; }
+    /// Called after each event that may change the time at which the forwarder must next be run.
     std::function<void()> on_activity = [] {};
-    /// Called for sessions whose runs other instances are to know.
-    std::function<void(const routing::session_run&)> on_session_ran = [](const auto&) {};
-    std::function<void(const routing::prompt_sent&)> on_prompt_went = [](const auto&) {};
-    std::function<void(const routing::prompt_answered&)> on_prompt_came = [](const auto&) {};
+    /// Called for a request of a session that ran at an endpoint, to be announced to other instances.
+    std::function<void(const routing::session_run&)> on_session_run = [](const auto&) {};
+    /// Called when a prompt was sent to an endpoint and when its answer arrived.
+    std::function<void(const routing::prompt_sent&)> on_prompt_sent = [](const auto&) {};
+    std::function<void(const routing::prompt_answered&)> on_prompt_answered = [](const auto&) {};
+    /// Called with crash reports to be announced to other instances.
     std::function<void(const crashes::crash_news&)> on_crash_seen = [](const auto&) {};
-    /// What other instances are to know of limits that endpoints name; see `forwarder_hooks`.
+    /// Called with limits advertised by endpoints, to be announced to other instances; see `forwarder_hooks`.
     std::function<void(const std::vector<core::instance_id>&, const std::vector<places::limit_report>&)>
         on_limits_told = [](const auto&, const auto&) {};
+    /// Called with endpoints that announced their shutdown, to be announced to other instances.
     std::function<void(const routing::leaving_notices&)> on_leaving_told = [](const auto&) {};
-    /// A request is harmful, which is to outlast this process.
-    std::function<void(crashes::request_fingerprint)> on_found_harmful = [](auto) {};
+    /// Called when a request is found to be harmful. The finding must be stored beyond this process's
+    /// lifetime.
+    std::function<void(crashes::request_fingerprint)> on_harmful_found = [](auto) {};
 
 private:
     using connection_ptr = std::shared_ptr<net::caller_connection>;
@@ -86,7 +92,7 @@
         core::time_point sent_at{};
         net::exchange exchange;
         net::http_response_head head;
-        routing::attempt_head typed;
+        routing::attempt_head parsed_head;
         std::string body;
         std::unique_ptr<net::event_reader> events;
     };
@@ -99,21 +105,22 @@
     void start(const routing::attempt_order& order);
     net::exchange_hooks exchange_hooks(const attempt_ptr& it);
     void on_head(const attempt_ptr& it, const net::http_response_head& head);
-    /// Whatever has become of the attempt.
-    void take_statement(const attempt& from, const net::http_response_head& head);
+    /// Passes what the answer says about its endpoint to the forwarder, whatever the state of the attempt.
+    void forward_statement(const attempt& from, const net::http_response_head& head);
     void on_body(const attempt_ptr& it, std::string_view bytes);
     void on_end(const attempt_ptr& it);
     void on_failed(const attempt_ptr& it, net::exchange_failure why);
-    void ask(const routing::endpoint_entry& endpoint);
+    /// Checks whether the endpoint accepts connections, and reports the result to the forwarder.
+    void probe(const routing::endpoint_entry& endpoint);
     void cancel(core::attempt_id id);
 
     void forward_answer(routing::flow_id flow, core::attempt_id id);
     void forward_head(routing::flow_id flow, core::attempt_id id);
     void forward_bytes(routing::flow_id flow, std::string_view bytes);
     void forward_end(routing::flow_id flow);
-    /// Removes a call and returns it.
+    /// Removes a call and returns it; nothing if the flow has none.
     std::optional<call> take_call(routing::flow_id flow);
-    void log(const routing::decision& it);
+    void log(const routing::decision& decision);
     void on_ended(const routing::decision& it, core::duration after);
 
     gateway_options options_;
@@ -127,7 +134,7 @@
     std::map<routing::flow_id, call> calls_;
     std::map<core::attempt_id, attempt_ptr> attempts_;
     std::uint64_t next_flow_ = 1;
-    bool stopping_ = false;
+    bool is_stopping_ = false;
 };
 
 } // namespace runlink::gateway
--- a/include/runlink/gateway/gateway_daemon.hpp
+++ b/include/runlink/gateway/gateway_daemon.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One instance that forwards requests: the edge, the forwarder, and its view of the store.
+/// One forwarding instance: the gateway, the request forwarder, and the connection to the store.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 namespace runlink::gateway
 {
 
-/// How a deployment spells what goes over its wires.
+/// Wire formats of a deployment: header names, stored documents, and the store's API.
 struct deployment_binding
 {
     header_names headers;
@@ -34,7 +34,7 @@
     control::kv_wire store;
 };
 
-/// Wires the parts together and runs them on the event loop of the thread.
+/// Connects the components of an instance and runs them on the current thread's event loop.
 class gateway_daemon
 {
 public:
@@ -44,9 +44,9 @@
     gateway_daemon& operator=(const gateway_daemon&) = delete;
 
     core::result<void> start();
-    /// Not ready from now on; goes on serving until nothing is under way or the grace is nearly over.
+    /// Reports not ready from now on. Serves until no request is active or the grace period is nearly over.
     void begin_stop();
-    /// Settings that may change in a running process are taken over.
+    /// Logs whether the settings are valid and have changed. Changes take effect at the next start.
     void reload(const core::result<gateway_settings>& it);
     std::function<void()> on_stopped = [] {};
 
@@ -57,7 +57,8 @@
     std::size_t peer_count() const { return gossip_.peer_count(); }
 
 private:
-    /// Age of the configuration from which no key admits a request; nothing where keys do not expire.
+    /// Time since the configuration was last confirmed, after which keys are rejected; nothing if keys do not
+    /// expire.
     std::optional<core::milliseconds> max_key_age() const;
     routing::forwarder_options forwarder_options() const;
     control::follower_hooks follower_hooks();
@@ -65,46 +66,51 @@
 
     void on_listed(core::time_point now, const std::vector<control::kv_item>& items);
     void on_changed(core::time_point now, const control::kv_event& it);
-    /// `written_at`: when the item was written, as far as is known.
-    void take(core::time_point now, const control::kv_item& item, core::time_point written_at);
-    void take_table(core::time_point now, const routing::routing_table_ptr& it, std::uint64_t revision);
-    void take_endpoint(core::time_point now, const routing::endpoint_entry& it);
+    /// Applies an item of the store. `written_at`: the best known time at which it was written.
+    void apply_item(core::time_point now, const control::kv_item& item, core::time_point written_at);
+    void apply_table(core::time_point now, const routing::routing_table_ptr& it, std::uint64_t revision);
+    void apply_endpoint(core::time_point now, const routing::endpoint_entry& it);
     void on_datagram(const proto::datagram& it);
     void on_gossip(core::time_point now, const routing::gossip_message& it);
     control::join_hooks join_hooks();
-    /// Instances that may be there at the start, but not this one.
+    /// Instances to contact at the start; empty if this instance is one of the seeds.
     std::vector<core::instance_id> seeds() const;
     control::peer_entry own_entry() const;
-    /// Sends a question with the own entry, so that the answer finds the way.
-    void ask(const core::instance_id& to, control::sync_request it);
+    /// Sends a request together with this instance's entry, which holds the address to reply to.
+    void send_sync_request(const core::instance_id& to, control::sync_request it);
     void on_sync_request(core::time_point now, const control::sync_request& it);
-    /// What endpoints have said of themselves: an instance that starts has had no answer yet.
-    void tell_statements(core::time_point now, const core::instance_id& to);
-    void take_peer(core::time_point now, const control::peer_entry& it);
+    /// Sends the known limits and shutdown notices of endpoints to an instance that starts and has not yet
+    /// received any answer from them.
+    void send_endpoint_statements(core::time_point now, const core::instance_id& to);
+    void apply_peer(core::time_point now, const control::peer_entry& it);
     void drop_peer(const core::instance_id& id);
-    /// Drops instances that a list of the store does not have.
+    /// Removes instances that are missing from a listing of the store.
     void drop_unlisted_peers(const std::vector<control::kv_item>& items);
     void write_members(const control::registry_batch& it, control::member_registry::done_handler done);
     void write_findings(const control::finding_batch& it, control::finding_registry::done_handler done);
-    void take_harmful(core::time_point now, crashes::request_fingerprint it);
-    void forget_harmful(core::time_point now, crashes::request_fingerprint it);
-    void forget(core::time_point now, const std::string& key);
-    /// Tells other failure domains what this one has sent, and the own one what the others have.
+    void apply_harmful(core::time_point now, crashes::request_fingerprint it);
+    void remove_harmful(core::time_point now, crashes::request_fingerprint it);
+    /// Applies the removal of a key from the store.
+    void remove_item(core::time_point now, const std::string& key);
+    /// Sends the load of this failure domain to the relays of the others, and the load of the others to the
+    /// instances of this one.
     void exchange_loads(core::time_point now);
     void on_load_digest(core::time_point now, const routing::load_digest& it);
-    /// A call that was sent at this time proved that no newer configuration was there.
+    /// A call to the store sent at `sent_at` proved that the configuration was the newest.
     void note_proof(core::time_point sent_at);
     void write_record(const routing::rollout_record& it);
-    /// The record is another one than a write depended on, or there is none.
-    void take_conflict(core::time_point now, const core::service_id& service, const control::kv_conflict& it);
-    void forget_record(core::time_point now, const core::service_id& service);
+    /// A conditional write failed: the stored record differs from the expected one or does not exist.
+    void apply_conflict(core::time_point now, const core::service_id& service,
+                        const control::kv_conflict& it);
+    void remove_record(core::time_point now, const core::service_id& service);
 
     void on_readiness(const std::shared_ptr<net::caller_connection>& from);
     void on_metrics(const std::shared_ptr<net::caller_connection>& from);
     std::string metrics_text() const;
     void rearm();
-    /// The time of an event; sees whether the process stood still before it.
+    /// Returns the time of an event, after checking whether the process was suspended before it.
     core::time_point begin_turn();
+    /// The process was suspended; `since` is the last turn of the event loop before.
     void on_wake(core::time_point now, core::time_point since);
     void on_timer();
     void keep_house(core::time_point now);
@@ -118,7 +124,7 @@
     loop_watch loop_;
     observe::decision_log log_;
     observe::metrics metrics_;
-    gateway edge_;
+    gateway gateway_;
     routing::request_forwarder forwarder_;
     kv_http_store store_;
     control::kv_store store_port_;
@@ -131,18 +137,19 @@
     net::http_listener readiness_;
     net::http_listener metrics_listener_;
     QTimer timer_;
-    std::optional<core::time_point> armed_;
+    std::optional<core::time_point> timer_due_; ///< when `timer_` fires
     core::time_point next_housekeeping_{};
-    core::time_point next_call_report_{};
-    routing::load_exchange far_loads_;
-    std::optional<core::time_point> next_digest_; ///< while this instance is a relay and not all tell all
-    std::optional<core::time_point> proven_at_;
+    core::time_point next_store_call_log_{};
+    routing::load_exchange remote_loads_;
+    std::optional<core::time_point>
+        next_digest_; ///< set while this relay exchanges loads with other failure domains
+    std::optional<core::time_point> configuration_proven_at_;
     std::uint64_t table_revision_ = 0;
     bool table_is_readable_ = false;
-    bool is_listed_ = false; ///< the store has been read whole once
+    bool has_listed_store_ = false; ///< the store has been listed completely at least once
     bool was_ready_ = false;
     std::optional<core::time_point> stop_began_;
-    bool stopped_ = false;
+    bool is_stopped_ = false;
     std::uint16_t callers_port_ = 0;
     std::uint16_t readiness_port_ = 0;
     std::uint16_t peers_port_ = 0;
--- a/include/runlink/gateway/gateway_settings.hpp
+++ b/include/runlink/gateway/gateway_settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The settings of an instance that forwards requests.
+/// Settings of a forwarding instance.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 namespace runlink::gateway
 {
 
-/// Parameters of the decisions that operators may set; the defaults are the forwarder's own.
+/// Forwarding parameters that operators may set. The defaults are those of the forwarder.
 struct forwarding_tuning
 {
     bool start_small = routing::cascade_options{}.start_small;
@@ -36,39 +36,42 @@
     friend bool operator==(const forwarding_tuning&, const forwarding_tuning&) = default;
 };
 
-/// What the settings file holds.
+/// Contents of the settings file.
 struct gateway_settings
 {
     core::instance_id id;
     core::failure_domain_id failure_domain;
-    std::uint32_t link_mbps = 0; ///< of the instance's link; 0: not known
+    std::uint32_t link_mbps = 0; ///< bandwidth of the instance's link; 0: unknown
     net::peer_address callers;
     net::peer_address readiness;
-    net::peer_address peers; ///< datagrams from other instances
-    /// IP numbers of instances that may be there at the start; they take datagrams on the port of `peers`.
+    net::peer_address peers; ///< receives datagrams from other instances
+    /// IP addresses of instances to contact at the start. They receive datagrams on the port of `peers`.
     std::vector<std::string> seeds;
-    std::uint16_t metrics_port = 0; ///< on the callers' address; 0: no metrics
+    std::uint16_t metrics_port = 0; ///< on the address of `callers`; 0: metrics are not served
     net::peer_address store;
-    core::milliseconds stop_grace{8000};     ///< the process is killed this long after it was told to stop
-    core::milliseconds key_revocation{5000}; ///< a removed key admits nothing after this
-    /// Whether keys admit nothing once the configuration was not proved for that long, as while the store is
-    /// away. Otherwise the last known ones hold until the store is heard again.
+    core::milliseconds stop_grace{8000};     ///< from the stop signal until the process is killed
+    core::milliseconds key_revocation{5000}; ///< within this time, a removed key is rejected
+    /// Whether all keys are rejected when the configuration could not be confirmed for `key_revocation`, for
+    /// example because the store is unreachable. If false, the last known keys stay valid until the store is
+    /// reachable again.
     bool keys_expire = true;
-    core::milliseconds configuration_apply{2000}; ///< a change is in force everywhere after this
-    core::milliseconds drain{2000}; ///< for which endpoints serve on after they said that they leave
+    core::milliseconds configuration_apply{2000}; ///< within this time, a change is in force on all instances
+    core::milliseconds drain{2000}; ///< how long endpoints keep serving after they announce their shutdown
     core::milliseconds session_ttl{5000};
     core::milliseconds retry_window{10000};
-    double retry_ratio = 0.9;     ///< repeats for each request, of all instances
-    double exposure_share = 0.15; ///< of requests that a bad version may get
-    places::region_map regions;   ///< of all failure domains
+    double retry_ratio = 0.9;     ///< retries per request, over all instances
+    double exposure_share = 0.15; ///< largest share of requests that a bad version may receive
+    places::region_map regions;   ///< region of each failure domain
     std::uint32_t log_lines_per_second = 400;
     forwarding_tuning tuning;
 
     friend bool operator==(const gateway_settings&, const gateway_settings&) = default;
 };
 
-/// Reads settings strictly. Fails with `settings_invalid`; the detail holds every fault with its path.
+/// Parses settings from JSON and rejects unknown fields. Fails with `settings_invalid`; the detail lists
+/// every fault with its path.
 core::result<gateway_settings> parse_gateway_settings(std::string_view json);
+/// Reads and parses a settings file; fails as `parse_gateway_settings` does, also if the file cannot be read.
 core::result<gateway_settings> load_gateway_settings(const std::string& path);
 
 } // namespace runlink::gateway
--- a/include/runlink/gateway/gossip_link.hpp
+++ b/include/runlink/gateway/gossip_link.hpp
@@ -19,7 +19,7 @@
 namespace runlink::gateway
 {
 
-/// Datagrams that the system did not take, since the start.
+/// Datagrams that the operating system refused to send since the start.
 struct datagram_failures
 {
     std::uint64_t count = 0;
@@ -27,8 +27,8 @@
     std::size_t last_bytes = 0;
 };
 
-/// Gathers what is to be told for a moment and sends it to all peers. Datagrams may be lost: what they carry
-/// only makes decisions better.
+/// Sends messages to other instances as datagrams, and batches frequent ones for a short time. Datagrams may
+/// be lost: their contents improve decisions but correctness does not depend on them.
 class gossip_link
 {
 public:
@@ -39,29 +39,33 @@
     gossip_link& operator=(const gossip_link&) = delete;
 
     core::result<std::uint16_t> bind(const std::string& host, std::uint16_t port);
-    /// Another instance.
+    /// Adds or updates another instance; the entry of this instance is ignored.
     void put_peer(const control::peer_entry& it);
     void remove_peer(const core::instance_id& id) { peers_.erase(id); }
     std::size_t peer_count() const { return peers_.size(); }
-    /// An address that may be an instance's: it gets only what is sent to it by this id.
+    /// Sets the address of an instance that is not yet a peer. It receives only messages sent to its id.
     void put_address(const core::instance_id& id, const std::string& host, std::uint16_t port);
 
     void send_to(const std::vector<core::instance_id>& to, const proto::datagram& it);
-    void tell(const routing::session_run& it);
-    void tell(std::vector<routing::version_evidence> it);
-    void tell(const routing::prompt_sent& it);
-    void tell(const routing::prompt_answered& it);
-    /// At once: each copy that another instance sends meanwhile may cost an endpoint.
-    void tell(const crashes::crash_news& it) { send_to_all(it, false); }
-    /// At once: what an endpoint that leaves is sent may be cut.
-    void tell(const routing::leaving_notices& it) { send_to_all(it, false); }
-    /// At once: the others put off their own sends.
-    void tell(const places::limit_reports& it) { send_to_all(it, false); }
-    void tell_near(const proto::datagram& it) { send_to_all(it, true); }
-    /// Whether prompts and answers are told to instances of other failure domains as well.
-    bool tells_far() const { return peers_.size() <= most_far_peers_; }
-    /// Other instances up to which all tell all.
-    void set_most_far_peers(std::size_t it) { most_far_peers_ = it; }
+    // `broadcast` sends to all peers. Session runs, prompts and answers are batched for a short time; prompts
+    // and answers may be restricted to the own failure domain.
+    void broadcast(const routing::session_run& it);
+    void broadcast(std::vector<routing::version_evidence> it);
+    void broadcast(const routing::prompt_sent& it);
+    void broadcast(const routing::prompt_answered& it);
+    /// Sent immediately: each copy of the request that another instance sends meanwhile may crash an
+    /// endpoint.
+    void broadcast(const crashes::crash_news& it) { send_to_all(it, false); }
+    /// Sent immediately: requests sent to an endpoint that shuts down may be interrupted.
+    void broadcast(const routing::leaving_notices& it) { send_to_all(it, false); }
+    /// Sent immediately: other instances delay their own sends to stay within the limit.
+    void broadcast(const places::limit_reports& it) { send_to_all(it, false); }
+    /// Sends to the instances of the own failure domain.
+    void broadcast_in_domain(const proto::datagram& it) { send_to_all(it, true); }
+    /// Whether prompts and answers are also sent to instances of other failure domains.
+    bool sends_prompts_to_all_domains() const { return peers_.size() <= max_peers_for_all_domains_; }
+    /// Number of peers up to which prompts and answers are sent to every peer.
+    void set_max_peers_for_all_domains(std::size_t it) { max_peers_for_all_domains_ = it; }
     const datagram_failures& not_sent() const { return not_sent_; }
 
 private:
@@ -69,32 +73,33 @@
     {
         QHostAddress host;
         std::uint16_t port = 0;
-        bool is_near = false; ///< in the own failure domain
+        bool in_own_domain = false; ///< in the failure domain of this instance
     };
 
-    void send();
+    void send_runs();
     void send_prompts();
-    void start_prompts_timer();
-    void send_to_all(const proto::datagram& it, bool only_near);
+    void start_prompt_timer();
+    void send_to_all(const proto::datagram& it, bool own_domain_only);
     void receive();
-    /// A datagram that is not taken counts as lost, and as not sent.
+    /// Sends a datagram. A failure is counted in `not_sent_` and not retried.
     void write(const peer& to, const QByteArray& bytes);
 
     core::instance_id self_;
     core::failure_domain_id own_domain_;
     handler on_message_;
-    /// What is told grows with the square of those who tell each other. At 91 instances it takes 0.0024 of a
-    /// core of each. At 295 telling all took 605 s of processor time and 0.36 GB between failure domains on a
-    /// quiet day; told near, with sums between failure domains, 276 s and 0.14 GB (processor time and bytes
-    /// of a day as the platform charges them).
-    std::size_t most_far_peers_ = 128;
+    /// Traffic grows with the square of the number of instances that send to each other. At 91 instances it
+    /// takes 0.0024 of a core of each. At 295 instances, sending to every peer took 605 s of processor time
+    /// and 0.36 GB between failure domains on a quiet day. Sending within the failure domain, with sums
+    /// between domains, took 276 s and 0.14 GB (processor time and bytes of a day as the platform charges
+    /// them).
+    std::size_t max_peers_for_all_domains_ = 128;
     QUdpSocket socket_;
-    QTimer timer_;
-    QTimer prompts_timer_;
+    QTimer run_timer_;
+    QTimer prompt_timer_;
     std::map<core::instance_id, peer> peers_;
-    std::map<core::instance_id, peer> addresses_; ///< of those that are not peers
+    std::map<core::instance_id, peer> addresses_; ///< of instances that are not peers
     datagram_failures not_sent_;
-    std::vector<routing::session_run> pending_;
+    std::vector<routing::session_run> pending_runs_;
     std::vector<routing::prompt_sent> pending_prompts_;
     std::vector<routing::prompt_answered> pending_answers_;
 };
--- a/include/runlink/gateway/header_names.hpp
+++ b/include/runlink/gateway/header_names.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The header names that forwarded requests and answers carry.
+/// Names of the HTTP header fields of forwarded requests and answers.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace runlink::gateway
 {
 
-/// Names in use at one deployment; the defaults are runlink's own.
+/// Header names of a deployment; the defaults are those of runlink.
 struct header_names
 {
     // From callers
@@ -17,8 +17,9 @@
     std::string key = "Runlink-Key";
     std::string session = "Runlink-Session";
     std::string model = "Runlink-Model";
-    std::string tokens = "Runlink-Tokens"; ///< prompt tokens, then the most that may be generated
-    std::string prompt = "Runlink-Prompt"; ///< ID:TOKENS, separated by commas
+    std::string tokens =
+        "Runlink-Tokens"; ///< prompt tokens and maximum generated tokens, separated by a comma
+    std::string prompt = "Runlink-Prompt"; ///< parts of the prompt as ID:TOKENS, separated by commas
     std::string last_event = "Last-Event-Id";
     // To endpoints
     std::string account = "Runlink-Account";
@@ -28,12 +29,13 @@
     std::string not_run = "Runlink-Not-Run";
     std::string digest = "Runlink-Digest";
     std::string confidence = "Runlink-Confidence";
-    std::string limit = "Runlink-Limit";     ///< requests a second from all instances together
-    std::string leaving = "Runlink-Leaving"; ///< 1: the endpoint leaves
-    std::string rest = "Retry-After";        ///< of a 503, in seconds
-    /// Set by the system only: what callers send under these names is dropped, whatever the spelling.
+    std::string limit = "Runlink-Limit";     ///< requests per second, over all instances
+    std::string leaving = "Runlink-Leaving"; ///< 1: the endpoint is shutting down
+    std::string rest = "Retry-After";        ///< in seconds; read from a 503 only
+    /// Fields that only the router may set. They are removed from callers' requests, in any letter case and
+    /// with underscores for dashes.
     std::vector<std::string> reserved;
-    /// A model name by which callers leave the choice to the router.
+    /// Model name with which callers let the router choose the model.
     std::string any_model = "*";
 };
 
--- a/include/runlink/gateway/kv_http_store.hpp
+++ b/include/runlink/gateway/kv_http_store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The store's calls over HTTP connections.
+/// Client of the key-value store over HTTP.
 #pragma once
 
 #include <functional>
@@ -15,31 +15,31 @@
 namespace runlink::gateway
 {
 
-/// Parameters of the calls.
+/// Timeouts of calls to the store.
 struct kv_http_options
 {
-    /// A call without an answer by then counts as lost. The store answers within milliseconds; sixty times
-    /// slower is still well within this.
+    /// A call without an answer within this time counts as unanswered. The store answers within milliseconds;
+    /// even 60 times slower, it stays well below the timeout.
     core::milliseconds call_timeout{900};
     core::milliseconds connect_timeout{400};
-    /// How much longer than its wait a watch may stay without an answer.
+    /// Added to the wait time of a watch to get its timeout.
     core::milliseconds watch_slack{1500};
 };
 
-/// Calls since the start, by kind and by what became of them. The store's operators count and charge each.
+/// Calls since the start by kind and result. The store's operators count and charge each call.
 struct kv_call_counters
 {
     std::uint64_t lists = 0;
     std::uint64_t watches = 0;
-    std::uint64_t commits = 0;    ///< transactions, those that only prove a revision included
-    std::uint64_t writes = 0;     ///< of these, those that change something
-    std::uint64_t unanswered = 0; ///< of all
-    std::uint64_t refused = 0;    ///< of all: answered 429 or 503
+    std::uint64_t commits = 0;    ///< transactions, including those that only check a revision
+    std::uint64_t writes = 0;     ///< commits that write or remove items
+    std::uint64_t unanswered = 0; ///< calls of any kind without an answer
+    std::uint64_t refused = 0;    ///< calls of any kind answered with 429 or 503
 
     std::uint64_t all() const { return lists + watches + commits; }
 };
 
-/// Sends the calls of a `kv_store` to one address.
+/// Sends the calls of a `kv_store` to one server. At most one watch can be cancelled: the latest.
 class kv_http_store
 {
 public:
@@ -47,11 +47,12 @@
     kv_http_store(const kv_http_store&) = delete;
     kv_http_store& operator=(const kv_http_store&) = delete;
 
+    /// Returns the store's interface, which must not outlive this object.
     control::kv_store port();
     const kv_call_counters& counters() const { return counters_; }
 
 private:
-    /// An answer, or nothing when none came.
+    /// Receives the answer; `status` is 0 if there was none.
     using answer_handler = std::function<void(int status, const std::string& body)>;
     struct call
     {
--- a/include/runlink/gateway/loop_watch.hpp
+++ b/include/runlink/gateway/loop_watch.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Finds out that the process stood still.
+/// Detects that the process was suspended.
 #pragma once
 
 #include <optional>
@@ -9,27 +9,27 @@
 namespace runlink::gateway
 {
 
-/// Compares the time of each turn of the event loop with when its timer was due. A virtual machine may be
-/// frozen and go on later as if nothing had happened: what the process believed is then older than it looks,
-/// and bytes that wait on its sockets came long ago.
+/// Compares the time of each turn of the event loop with the time at which its timer was due. A virtual
+/// machine may be suspended and resumed without notice. The state of the process is then older than it
+/// appears, and bytes waiting on its sockets arrived long ago.
 class loop_watch
 {
 public:
-    /// `least_pause`: turns that are late by less are those of a busy processor.
+    /// `least_pause`: a turn that is late by no more than this is attributed to a busy processor.
     explicit loop_watch(core::milliseconds least_pause = core::milliseconds{1000}) : least_pause_{least_pause}
     {
     }
 
-    /// The loop's timer is set to this time.
+    /// Records the time for which the event loop's timer is set.
     void expect(core::time_point due) { due_ = due; }
-    /// A turn begins. Returns the last turn before a pause, if there was one.
+    /// Records the start of a turn. After a pause, returns the time of the last turn before it.
     std::optional<core::time_point> turn(core::time_point now)
     {
         const auto last = last_;
         last_ = now;
         if (!last || !due_ || now - *due_ <= least_pause_)
             return std::nullopt;
-        due_.reset(); // told once
+        due_.reset(); // reports each pause only once
         return last;
     }
 
--- a/include/runlink/gateway/rollout_log.hpp
+++ b/include/runlink/gateway/rollout_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Log lines of roll-outs: an order, a record, what was known when a step or a verdict was decided.
+/// Log lines of rollouts: orders, records, and the counts on which steps and verdicts were based.
 #pragma once
 
 #include <optional>
@@ -11,17 +11,18 @@
 namespace runlink::gateway
 {
 
+/// A rollout order was read from the store.
 observe::log_line rollout_order_line(const routing::rollout_order& it);
-/// A record that came, beside the order that it is compared with.
+/// A rollout record was read from the store; logged with the order that it belongs to.
 observe::log_line rollout_record_line(const routing::rollout_record& it,
                                       const std::optional<routing::rollout_standing>& known);
-/// A record that this instance writes, with the counts that it decided on.
+/// This instance writes a rollout record; logged with the counts on which the decision was based.
 observe::log_line rollout_write_line(const routing::rollout_record& it,
                                      const std::optional<routing::rollout_standing>& known);
-/// What became of the write.
+/// Result of writing a rollout record.
 observe::log_line rollout_written_line(const routing::rollout_record& it,
                                        const control::kv_commit_result& result);
-/// This instance found a version bad.
+/// This instance judged a version to be bad.
 observe::log_line version_found_bad_line(const core::service_id& service, const routing::version_fault& why,
                                          const std::optional<routing::rollout_standing>& known);
 
--- a/include/runlink/gateway/signal_watcher.hpp
+++ b/include/runlink/gateway/signal_watcher.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Signals as events.
+/// Delivers POSIX signals through the event loop.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 namespace runlink::gateway
 {
 
-/// Calls handlers from the event loop when signals arrive. One at a time may exist.
+/// Calls handlers from the event loop when signals arrive. At most one watcher may exist at a time.
 class signal_watcher
 {
 public:
--- a/include/runlink/gateway/statement_reader.hpp
+++ b/include/runlink/gateway/statement_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What endpoints say of themselves in the heads of their answers.
+/// Reads what endpoints report about themselves in the headers of their answers.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,9 @@
 namespace runlink::gateway
 {
 
-/// What the answer to a request says of the endpoint that it was sent to, whatever its status. Nothing where
-/// another process has answered (421), or where the answer does not name the request.
+/// Reads the limit, shutdown notice and requested rest from an answer of any status; the rest is read from a
+/// 503 only. Returns nothing if another process answered (421), or if the answer does not carry the request's
+/// id.
 std::optional<routing::endpoint_statement> read_statement(const header_names& names,
                                                           const net::http_response_head& head,
                                                           const core::request_id& request);
--- a/src/runlink/gateway/gateway.cpp
+++ b/src/runlink/gateway/gateway.cpp
@@ -44,7 +44,7 @@
     routing::forwarder_hooks out;
     out.start = [this](const routing::attempt_order& it) { start(it); };
     out.cancel = [this](core::attempt_id id) { cancel(id); };
-    out.ask = [this](const routing::endpoint_entry& it) { ask(it); };
+    out.ask = [this](const routing::endpoint_entry& it) { probe(it); };
     out.endpoint_restarted = [this](const routing::endpoint_entry& it) {
         pool_.forget_idle({it.host, it.port});
     };
@@ -62,20 +62,20 @@
         if (const auto it = take_call(flow))
             refuse(it->connection, why, it->request_id);
     };
-    out.session_ran = [this](const routing::session_run& it) { on_session_ran(it); };
-    out.prompt_went = [this](const routing::prompt_sent& it) { on_prompt_went(it); };
-    out.prompt_came = [this](const routing::prompt_answered& it) { on_prompt_came(it); };
+    out.session_ran = [this](const routing::session_run& it) { on_session_run(it); };
+    out.prompt_went = [this](const routing::prompt_sent& it) { on_prompt_sent(it); };
+    out.prompt_came = [this](const routing::prompt_answered& it) { on_prompt_answered(it); };
     out.crash_seen = [this](const crashes::crash_news& it) { on_crash_seen(it); };
     out.tell_limits = [this](const std::vector<core::instance_id>& to,
                              const std::vector<places::limit_report>& it) { on_limits_told(to, it); };
     out.tell_leaving = [this](const routing::leaving_notices& it) { on_leaving_told(it); };
-    out.found_harmful = [this](crashes::request_fingerprint it) { on_found_harmful(it); };
+    out.found_harmful = [this](crashes::request_fingerprint it) { on_harmful_found(it); };
     out.log = [this](const routing::decision& it) { log(it); };
     out.ended = [this](const routing::decision& it, core::duration after) { on_ended(it, after); };
     return out;
 }
 
-// Callers
+// Requests from callers
 
 void gateway::on_request(const connection_ptr& from, const net::http_request_head& head, std::string body)
 {
@@ -114,7 +114,7 @@
 
 void gateway::refuse(const connection_ptr& to, const routing::refusal& why, const std::string& request)
 {
-    const bool close = stopping_ || to->wants_close();
+    const bool close = is_stopping_ || to->wants_close();
     to->write(write_refusal(why, request, close));
     to->finish(close);
 }
@@ -125,7 +125,7 @@
     return found.empty() ? std::nullopt : std::optional{std::move(found.mapped())};
 }
 
-// Endpoints
+// Attempts at endpoints
 
 void gateway::start(const routing::attempt_order& order)
 {
@@ -164,7 +164,7 @@
     return out;
 }
 
-void gateway::take_statement(const attempt& from, const net::http_response_head& head)
+void gateway::forward_statement(const attempt& from, const net::http_response_head& head)
 {
     if (const auto says = read_statement(names_, head, from.request))
         forwarder_->on_statement(clock_(), from.endpoint, from.sent_at, *says);
@@ -172,15 +172,15 @@
 
 void gateway::on_head(const attempt_ptr& it, const net::http_response_head& head)
 {
-    take_statement(*it, head);
+    forward_statement(*it, head);
     it->head = head;
-    it->typed = read_attempt_head(names_, head);
-    if (!it->typed.is_event_stream)
+    it->parsed_head = read_attempt_head(names_, head);
+    if (!it->parsed_head.is_event_stream)
         return;
     it->events = std::make_unique<net::event_reader>(
         [this, it = it.get()](std::string_view event, std::optional<std::uint64_t> id)
         { forwarder_->on_stream_event(clock_(), it->id, event, id); });
-    forwarder_->on_stream_head(clock_(), it->id, it->typed);
+    forwarder_->on_stream_head(clock_(), it->id, it->parsed_head);
     on_activity();
 }
 
@@ -203,7 +203,7 @@
 {
     const auto now = clock_();
     if (!it->events)
-        forwarder_->on_answer(now, it->id, it->typed);
+        forwarder_->on_answer(now, it->id, it->parsed_head);
     else if (!it->events->rest().empty())
         forwarder_->on_lost(now, it->id, routing::attempt_loss::broken);
     else
@@ -219,9 +219,9 @@
     on_activity();
 }
 
-void gateway::ask(const routing::endpoint_entry& endpoint)
+void gateway::probe(const routing::endpoint_entry& endpoint)
 {
-    pool_.ask({endpoint.host, endpoint.port}, options_.ask_timeout,
+    pool_.ask({endpoint.host, endpoint.port}, options_.probe_timeout,
               [this, endpoint](core::contact it)
               {
                   if (it != core::contact::answered)
@@ -245,7 +245,7 @@
         it->abandon();
 }
 
-// Answers
+// Answers to callers
 
 void gateway::forward_answer(routing::flow_id flow, core::attempt_id id)
 {
@@ -254,7 +254,7 @@
         return;
     const auto& from = *attempts_.at(id);
     auto fields = forwarded_fields(from.head);
-    const bool close = stopping_ || to->connection->wants_close();
+    const bool close = is_stopping_ || to->connection->wants_close();
     if (close)
         fields.add("Connection", "close");
     fields.add("Content-Length", std::to_string(from.body.size()));
@@ -267,7 +267,7 @@
     auto& to = calls_.at(flow);
     const auto& from = *attempts_.at(id);
     auto fields = forwarded_fields(from.head);
-    if (stopping_ || to.connection->wants_close())
+    if (is_stopping_ || to.connection->wants_close())
         fields.add("Connection", "close");
     fields.add("Transfer-Encoding", "chunked");
     to.connection->write(net::write_response_head(from.head.status, from.head.reason, fields));
@@ -295,14 +295,14 @@
     if (!to)
         return;
     to->connection->write(net::write_chunk({}));
-    to->connection->finish(stopping_ || to->connection->wants_close());
+    to->connection->finish(is_stopping_ || to->connection->wants_close());
 }
 
 // Log
 
-void gateway::log(const routing::decision& it)
+void gateway::log(const routing::decision& decision)
 {
-    observe::log_line line{it.event};
+    observe::log_line line{decision.event};
     const auto text = [&](std::string_view name, std::string_view value)
     {
         if (!value.empty())
@@ -313,47 +313,47 @@
         if (value >= 0)
             line.number(name, value);
     };
-    text("request", it.request);
-    text("reason", it.reason);
-    text("content", it.content);
-    text("route", it.route);
-    text("account", it.account);
-    text("session", it.session);
-    text("endpoint", it.endpoint);
-    text("version", it.version);
-    text("model", it.model);
-    text("failure_domain", it.failure_domain);
-    text("source", it.source);
-    text("limit", it.limit);
-    if (it.outcome)
-        text("outcome", to_string(*it.outcome));
-    number("status", it.status);
-    number("confidence", it.confidence);
-    number("attempt", it.attempt);
-    number("elapsed_ms", it.elapsed_ms);
-    number("time_left_ms", it.time_left_ms);
-    number("proof_age_ms", it.proof_age_ms);
-    number("table", it.table_version);
-    number("expected_wait_ms", it.expected_wait_ms);
-    number("expected_read_ms", it.expected_read_ms);
-    number("cold_ms", it.cold_ms);
-    number("ends", it.ends);
-    number("trials", it.trials);
-    number("evidence_age_ms", it.evidence_age_ms);
-    text("denied", it.denied);
-    number("key_gone_ms", it.key_gone_ms);
-    number("allowance_left", it.allowance_left);
-    number("endpoints_fitting", it.endpoints_fitting);
-    number("endpoints_limited", it.endpoints_limited);
-    number("place_ms", it.place_ms);
-    number("endpoints_resting", it.endpoints_resting);
-    number("rest_ms", it.rest_ms);
-    number("statement_age_ms", it.statement_age_ms);
-    if (it.is_sender)
-        number("sends", *it.is_sender ? 1 : 0);
-    const bool is_routine = it.event == "dispatched" || it.event == "stream_began" ||
-                            it.event == "endpoint_answered" ||
-                            (it.event == "ended" && it.reason == "answered");
+    text("request", decision.request);
+    text("reason", decision.reason);
+    text("content", decision.content);
+    text("route", decision.route);
+    text("account", decision.account);
+    text("session", decision.session);
+    text("endpoint", decision.endpoint);
+    text("version", decision.version);
+    text("model", decision.model);
+    text("failure_domain", decision.failure_domain);
+    text("source", decision.source);
+    text("limit", decision.limit);
+    if (decision.outcome)
+        text("outcome", to_string(*decision.outcome));
+    number("status", decision.status);
+    number("confidence", decision.confidence);
+    number("attempt", decision.attempt);
+    number("elapsed_ms", decision.elapsed_ms);
+    number("time_left_ms", decision.time_left_ms);
+    number("proof_age_ms", decision.proof_age_ms);
+    number("table", decision.table_version);
+    number("expected_wait_ms", decision.expected_wait_ms);
+    number("expected_read_ms", decision.expected_read_ms);
+    number("cold_ms", decision.cold_ms);
+    number("ends", decision.ends);
+    number("trials", decision.trials);
+    number("evidence_age_ms", decision.evidence_age_ms);
+    text("denied", decision.denied);
+    number("key_gone_ms", decision.key_gone_ms);
+    number("allowance_left", decision.allowance_left);
+    number("endpoints_fitting", decision.endpoints_fitting);
+    number("endpoints_limited", decision.endpoints_limited);
+    number("place_ms", decision.place_ms);
+    number("endpoints_resting", decision.endpoints_resting);
+    number("rest_ms", decision.rest_ms);
+    number("statement_age_ms", decision.statement_age_ms);
+    if (decision.is_sender)
+        number("sends", *decision.is_sender ? 1 : 0);
+    const bool is_routine = decision.event == "dispatched" || decision.event == "stream_began" ||
+                            decision.event == "endpoint_answered" ||
+                            (decision.event == "ended" && decision.reason == "answered");
     log_.write(clock_(), line, is_routine ? observe::log_rank::routine : observe::log_rank::notable);
 }
 
--- a/src/runlink/gateway/gateway_daemon.cpp
+++ b/src/runlink/gateway/gateway_daemon.cpp
@@ -16,21 +16,22 @@
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 constexpr core::milliseconds housekeeping_interval{1000};
-/// Between two lines with the counts of calls to the store.
-constexpr core::milliseconds call_report_interval{10'000};
-/// A proof is trusted for this much less than keys may be: for delay on the way and timers that fire late.
+/// Interval between log lines with the counts of calls to the store.
+constexpr core::milliseconds store_call_log_interval{10'000};
+/// Subtracted from the allowed key age to allow for network delay and timers that fire late.
 constexpr core::milliseconds key_margin{400};
 constexpr core::milliseconds denial_margin{100};
-/// An endpoint that leaves gets nothing for this much before it may end: connections take a while to come up.
+/// An endpoint that shuts down is sent no requests for this long before it may end, because connections take
+/// time to establish.
 constexpr core::milliseconds drain_margin{600};
-/// Part of the deployment's retry ratio that is used: what calls in flight add comes on top.
-constexpr double retry_part = 0.88;
-/// Part of the accepted exposure that is the first share of a roll-out. What it leaves is the time for which
-/// the new version may get all requests before it is declared good.
-constexpr double first_exposure_part = 0.55;
-/// After this long the balancer has taken an instance out that is not ready: two questions, a second apart.
-constexpr core::milliseconds balancer_wait{2700};
-/// The process ends this long before it would be killed.
+/// Fraction of the deployment's retry ratio that is used; the rest is left for calls in flight.
+constexpr double retry_ratio_fraction = 0.88;
+/// Fraction of the accepted exposure that the first step of a rollout uses. The remainder bounds the time for
+/// which the new version may receive all requests before it is declared good.
+constexpr double first_exposure_fraction = 0.55;
+/// Time within which the load balancer removes an instance that is not ready: two probes, one second apart.
+constexpr core::milliseconds balancer_removal_time{2700};
+/// The process exits this long before it would be killed.
 constexpr core::milliseconds stop_reserve{300};
 
 std::int64_t wall_ms()
@@ -44,9 +45,9 @@
 gateway_daemon::gateway_daemon(gateway_settings settings, deployment_binding binding)
     : settings_{std::move(settings)}, binding_{std::move(binding)}, clock_{[this] { return begin_turn(); }},
       log_{STDOUT_FILENO, {settings_.log_lines_per_second}, settings_.id.str(), wall_ms},
-      edge_{{}, binding_.headers, log_, metrics_, clock_}, forwarder_{forwarder_options(),
-                                                                      settings_.failure_domain, settings_.id,
-                                                                      edge_.hooks()},
+      gateway_{{}, binding_.headers, log_, metrics_, clock_}, forwarder_{forwarder_options(),
+                                                                         settings_.failure_domain,
+                                                                         settings_.id, gateway_.hooks()},
       store_{{}, settings_.store, binding_.store}, store_port_{store_.port()},
       follower_{{binding_.documents.configuration_key}, store_port_, follower_hooks()},
       gossip_{settings_.id, settings_.failure_domain, [this](const proto::datagram& it) { on_datagram(it); }},
@@ -60,23 +61,23 @@
       metrics_listener_{[this](const auto& from, const auto&, const std::string&) { on_metrics(from); },
                         [](const auto& from, net::codec_error) { from->reset(); }}
 {
-    edge_.attach(forwarder_);
-    edge_.on_activity = [this] { rearm(); };
-    edge_.on_session_ran = [this](const routing::session_run& it) { gossip_.tell(it); };
-    edge_.on_prompt_went = [this](const routing::prompt_sent& it) { gossip_.tell(it); };
-    edge_.on_prompt_came = [this](const routing::prompt_answered& it) { gossip_.tell(it); };
-    edge_.on_crash_seen = [this](const crashes::crash_news& it) { gossip_.tell(it); };
-    edge_.on_limits_told =
+    gateway_.attach(forwarder_);
+    gateway_.on_activity = [this] { rearm(); };
+    gateway_.on_session_run = [this](const routing::session_run& it) { gossip_.broadcast(it); };
+    gateway_.on_prompt_sent = [this](const routing::prompt_sent& it) { gossip_.broadcast(it); };
+    gateway_.on_prompt_answered = [this](const routing::prompt_answered& it) { gossip_.broadcast(it); };
+    gateway_.on_crash_seen = [this](const crashes::crash_news& it) { gossip_.broadcast(it); };
+    gateway_.on_limits_told =
         [this](const std::vector<core::instance_id>& to, const std::vector<places::limit_report>& it)
     {
         const places::limit_reports message{settings_.id, it};
         if (to.empty())
-            gossip_.tell(message);
+            gossip_.broadcast(message);
         else
             gossip_.send_to(to, message);
     };
-    edge_.on_leaving_told = [this](const routing::leaving_notices& it) { gossip_.tell(it); };
-    edge_.on_found_harmful = [this](crashes::request_fingerprint it)
+    gateway_.on_leaving_told = [this](const routing::leaving_notices& it) { gossip_.broadcast(it); };
+    gateway_.on_harmful_found = [this](crashes::request_fingerprint it)
     {
         if (!findings_.found(clock_(), it))
             log_state("finding_not_recorded", to_hex(it));
@@ -109,7 +110,7 @@
     out.max_denial_age = settings_.configuration_apply - denial_margin;
     out.session_ttl = settings_.session_ttl;
     out.retries.window = std::chrono::duration_cast<core::seconds>(settings_.retry_window);
-    out.retries.ratio = settings_.retry_ratio * retry_part;
+    out.retries.ratio = settings_.retry_ratio * retry_ratio_fraction;
     const auto& tuning = settings_.tuning;
     out.cascade.start_small = tuning.start_small;
     out.cascade.accept_confidence = tuning.accept_confidence;
@@ -128,14 +129,14 @@
     constexpr double percent = 100;
     out.rollouts.schedule.exposure_share = settings_.exposure_share;
     out.rollouts.schedule.first_share_percent =
-        static_cast<std::uint32_t>(settings_.exposure_share * first_exposure_part * percent);
+        static_cast<std::uint32_t>(settings_.exposure_share * first_exposure_fraction * percent);
     return out;
 }
 
 core::result<void> gateway_daemon::start()
 {
     const auto now = clock_();
-    BOOST_OUTCOME_TRY(callers, edge_.listen(settings_.callers.host, settings_.callers.port));
+    BOOST_OUTCOME_TRY(callers, gateway_.listen(settings_.callers.host, settings_.callers.port));
     callers_port_ = callers;
     BOOST_OUTCOME_TRY(readiness, readiness_.listen(settings_.readiness.host, settings_.readiness.port));
     readiness_port_ = readiness;
@@ -149,7 +150,7 @@
     peers_port_ = peers;
     for (const auto& it : seeds())
         gossip_.put_address(it, it.str(), peers_port_);
-    follower_.set_direct(now, false); // until the instance is introduced
+    follower_.set_direct(now, false); // until the join selects a source of store changes
     forwarder_.rollouts().set_follows_store(false);
     forwarder_.begin_start(now);
     join_.start(now);
@@ -198,10 +199,10 @@
                            registry_.next_due(), findings_.next_due(), join_.next_due()})
         if (it)
             due = std::min(due, *it);
-    // An earlier timer fires without harm; a change that is not earlier needs no new one.
-    if (armed_ && *armed_ <= due)
+    // A timer that fires too early is harmless, so it is restarted only for an earlier time.
+    if (timer_due_ && *timer_due_ <= due)
         return;
-    armed_ = due;
+    timer_due_ = due;
     const auto now = clock_();
     loop_.expect(std::max(due, now));
     const auto wait = std::chrono::ceil<core::milliseconds>(due - now);
@@ -221,7 +222,7 @@
     observe::log_line line{"woke"};
     line.number("paused_ms", std::chrono::floor<core::milliseconds>(now - since).count());
     log_.write(now, line, observe::log_rank::notable);
-    armed_ = now; // timers stood still as well
+    timer_due_ = now; // timers were suspended as well
     timer_.start(0);
     forwarder_.on_wake(now, since);
     follower_.on_wake(now);
@@ -230,7 +231,7 @@
 
 void gateway_daemon::on_timer()
 {
-    armed_.reset();
+    timer_due_.reset();
     const auto now = clock_();
     forwarder_.end_wake();
     forwarder_.tick(now);
@@ -244,11 +245,11 @@
     for (const auto& it : forwarder_.rollouts().due(now))
         write_record(it);
     if (auto evidence = forwarder_.rollouts().tell_evidence(now); !evidence.empty())
-        gossip_.tell(std::move(evidence));
+        gossip_.broadcast(std::move(evidence));
     if (now >= next_housekeeping_)
         keep_house(now);
     check_stop(now);
-    if (stopped_)
+    if (is_stopped_)
         return;
     rearm();
 }
@@ -256,7 +257,7 @@
 void gateway_daemon::keep_house(core::time_point now)
 {
     next_housekeeping_ = now + housekeeping_interval;
-    edge_.listener().check_timeouts();
+    gateway_.listener().check_timeouts();
     readiness_.check_timeouts();
     metrics_listener_.check_timeouts();
     for (const auto it : forwarder_.attribution().take_expired(now))
@@ -265,16 +266,16 @@
     forwarder_.keep_house(now);
     if (!stop_began_ && (relay_.is_direct() || join_.must_announce_itself(now)))
         registry_.announce(now, own_entry());
-    if (relay_.is_relay() && !gossip_.tells_far() && !next_digest_)
+    if (relay_.is_relay() && !gossip_.sends_prompts_to_all_domains() && !next_digest_)
         next_digest_ = now;
-    // Followers take only young proofs from relays.
+    // Followers accept only recent proofs from relays.
     const auto options = control::relay_options::within(settings_.configuration_apply);
     follower_.set_proof_interval(relay_.is_used() ? options.proof_interval()
                                                   : control::follower_options{}.proof_interval);
     follower_.set_gather(relay_.is_used() ? options.gather : control::follower_options{}.gather);
-    if (now >= next_call_report_)
+    if (now >= next_store_call_log_)
     {
-        next_call_report_ = now + call_report_interval;
+        next_store_call_log_ = now + store_call_log_interval;
         log_store_calls(now);
     }
     log_.flush();
@@ -287,8 +288,9 @@
     if (stop_began_)
         return;
     stop_began_ = clock_();
-    edge_.begin_stop();
-    forwarder_.begin_stop(*stop_began_ + balancer_wait, *stop_began_ + settings_.stop_grace - stop_reserve);
+    gateway_.begin_stop();
+    forwarder_.begin_stop(*stop_began_ + balancer_removal_time,
+                          *stop_began_ + settings_.stop_grace - stop_reserve);
     log_state("stop_began", "");
     log_.flush();
     rearm();
@@ -296,17 +298,17 @@
 
 void gateway_daemon::check_stop(core::time_point now)
 {
-    if (!stop_began_ || stopped_)
+    if (!stop_began_ || is_stopped_)
         return;
     const auto since = now - *stop_began_;
     const bool must_end = since >= settings_.stop_grace - stop_reserve;
-    if (since >= balancer_wait)
-        edge_.listener().close_idle();
-    const bool is_done =
-        since >= balancer_wait && forwarder_.active_count() == 0 && edge_.listener().connection_count() == 0;
+    if (since >= balancer_removal_time)
+        gateway_.listener().close_idle();
+    const bool is_done = since >= balancer_removal_time && forwarder_.active_count() == 0 &&
+                         gateway_.listener().connection_count() == 0;
     if (!must_end && !is_done)
         return;
-    stopped_ = true;
+    is_stopped_ = true;
     log_store_calls(now);
     log_state("stopped", std::to_string(forwarder_.active_count()) + " requests under way");
     log_.flush();
@@ -319,7 +321,7 @@
         return log_state("settings_refused", it.error().detail);
     if (it.value() == settings_)
         return log_state("settings_reloaded", "unchanged");
-    // Addresses and bounds hold for the life of a process; a restart takes them.
+    // Addresses and bounds are fixed for the lifetime of the process.
     log_state("settings_reloaded", "changes take effect at the next start");
 }
 
--- a/src/runlink/gateway/gateway_daemon_metrics.cpp
+++ b/src/runlink/gateway/gateway_daemon_metrics.cpp
@@ -1,4 +1,4 @@
-// What the daemon counts, as Prometheus text.
+// The daemon's metrics in the Prometheus text format, and its periodic log lines.
 
 #include "runlink/gateway/gateway_daemon.hpp"
 
@@ -45,9 +45,9 @@
         counter("runlink_store_unanswered_total", "Calls of the store without an answer", calls.unanswered),
         counter("runlink_store_refused_total", "Calls that the store refused", calls.refused),
         counter("runlink_connections_opened_total", "Connections opened to endpoints",
-                edge_.pool().totals().opened),
+                gateway_.pool().totals().opened),
         counter("runlink_connections_reused_total", "Connections to endpoints used again",
-                edge_.pool().totals().reused),
+                gateway_.pool().totals().reused),
         counter("runlink_log_lines_left_out_total", "Log lines without room", log_.left_out()),
         counter("runlink_cold_sends_total", "Sends to endpoints that were cold", n.cold_sends),
         counter("runlink_without_place_total", "Requests refused since no endpoint may be used now",
--- a/src/runlink/gateway/gateway_daemon_peers.cpp
+++ b/src/runlink/gateway/gateway_daemon_peers.cpp
@@ -1,4 +1,4 @@
-// What the daemon and other instances tell each other: starts, entries, changes, proofs and loads.
+// Messages between instances: joins, member entries, store changes, proofs of the configuration, and loads.
 
 #include <algorithm>
 #include <set>
@@ -12,9 +12,9 @@
 namespace
 {
 
-/// Followers read a new configuration within this of its news, well inside the time in which it must be in
-/// force.
-constexpr std::uint64_t fetch_spread_ms = 300;
+/// Followers fetch a new configuration within this time of its announcement, well within the time by which it
+/// must be in force.
+constexpr std::uint64_t max_fetch_delay_ms = 300;
 
 } // namespace
 
@@ -24,7 +24,7 @@
     for (const auto& it : settings_.seeds)
     {
         if (it == settings_.peers.host)
-            return {}; // others ask this one
+            return {}; // a seed waits for other instances to contact it
         out.emplace_back(it);
     }
     return out;
@@ -35,7 +35,7 @@
     return {settings_.id, settings_.failure_domain, settings_.peers.host, peers_port_, settings_.link_mbps};
 }
 
-void gateway_daemon::ask(const core::instance_id& to, control::sync_request it)
+void gateway_daemon::send_sync_request(const core::instance_id& to, control::sync_request it)
 {
     it.sender = own_entry();
     gossip_.send_to({to}, it);
@@ -44,7 +44,8 @@
 control::join_hooks gateway_daemon::join_hooks()
 {
     control::join_hooks out;
-    out.ask = [this](const core::instance_id& to, const control::sync_request& it) { ask(to, it); };
+    out.ask = [this](const core::instance_id& to, const control::sync_request& it)
+    { send_sync_request(to, it); };
     out.list = [this] { follower_.start(); };
     out.take_view = [this](core::time_point, const control::joined_view& it)
     {
@@ -72,10 +73,10 @@
         registry_.announce(now, it.sender);
     relay_.on_request(now, it);
     if (it.is_joining)
-        tell_statements(now, it.sender.id);
+        send_endpoint_statements(now, it.sender.id);
 }
 
-void gateway_daemon::tell_statements(core::time_point now, const core::instance_id& to)
+void gateway_daemon::send_endpoint_statements(core::time_point now, const core::instance_id& to)
 {
     if (const auto limits = forwarder_.bounds().limits().all(now); !limits.empty())
         gossip_.send_to({to}, places::limit_reports{settings_.id, limits});
@@ -83,7 +84,7 @@
         gossip_.send_to({to}, leaving);
 }
 
-void gateway_daemon::take_peer(core::time_point now, const control::peer_entry& it)
+void gateway_daemon::apply_peer(core::time_point now, const control::peer_entry& it)
 {
     registry_.listed(it);
     if (it.id == settings_.id)
@@ -170,7 +171,8 @@
 control::relay_hooks gateway_daemon::relay_hooks()
 {
     control::relay_hooks out;
-    out.ask = [this](const core::instance_id& to, const control::sync_request& it) { ask(to, it); };
+    out.ask = [this](const core::instance_id& to, const control::sync_request& it)
+    { send_sync_request(to, it); };
     out.reply = [this](const std::vector<core::instance_id>& to, const control::sync_reply& it)
     { gossip_.send_to(to, it); };
     out.view = [this](core::time_point now)
@@ -178,8 +180,8 @@
         control::store_view it;
         it.store_revision = follower_.revision();
         it.configuration_revision = follower_.configuration_revision();
-        if (proven_at_)
-            it.proof_age = now - *proven_at_;
+        if (configuration_proven_at_)
+            it.proof_age = now - *configuration_proven_at_;
         return it;
     };
     out.set_direct = [this](core::time_point now, bool direct)
@@ -196,9 +198,9 @@
             std::all_of(keys.begin(), keys.end(),
                         [this](const auto& it) { return it == binding_.documents.configuration_key; });
         if (is_configuration)
-            // Not all followers at the same moment: the store bounds its calls a second.
+            // Followers fetch at different times because the store limits its calls per second.
             follower_.prove_soon(now, core::milliseconds{static_cast<core::milliseconds::rep>(
-                                          core::stable_hash(settings_.id.str()) % fetch_spread_ms)});
+                                          core::stable_hash(settings_.id.str()) % max_fetch_delay_ms)});
         else
             follower_.list_again();
     };
@@ -216,20 +218,20 @@
 void gateway_daemon::exchange_loads(core::time_point now)
 {
     next_digest_.reset();
-    if (!relay_.is_relay() || gossip_.tells_far())
+    if (!relay_.is_relay() || gossip_.sends_prompts_to_all_domains())
         return;
-    next_digest_ = now + far_loads_.options().interval;
-    gossip_.send_to(relay_.other_relays(), forwarder_.near_loads(now, far_loads_.options().least_load));
-    const auto far = far_loads_.merged(now);
-    gossip_.tell_near(far);
+    next_digest_ = now + remote_loads_.options().interval;
+    gossip_.send_to(relay_.other_relays(), forwarder_.near_loads(now, remote_loads_.options().least_load));
+    const auto far = remote_loads_.merged(now);
+    gossip_.broadcast_in_domain(far);
     forwarder_.on_far_loads(now, far);
 }
 
 void gateway_daemon::on_load_digest(core::time_point now, const routing::load_digest& it)
 {
     if (!it.domain.empty())
-        far_loads_.on_digest(now, it); // from another relay
-    else if (!gossip_.tells_far())
+        remote_loads_.on_digest(now, it); // from another relay
+    else if (!gossip_.sends_prompts_to_all_domains())
         forwarder_.on_far_loads(now, it);
 }
 
@@ -241,7 +243,7 @@
         forwarder_.on_peer_prompt(now, e);
     for (const auto& e : it.answers)
         forwarder_.on_peer_answer(now, e);
-    if (!it.sender.str().empty()) // one with prompts alone names no sender
+    if (!it.sender.str().empty()) // messages that hold only prompts have no sender
         forwarder_.rollouts().on_peer_evidence(now, it.sender, it.evidence);
 }
 
--- a/src/runlink/gateway/gateway_daemon_store.cpp
+++ b/src/runlink/gateway/gateway_daemon_store.cpp
@@ -1,4 +1,4 @@
-// What the daemon learns from the store, and what it writes.
+// Reads the store's documents and writes member entries, findings and rollout records.
 
 #include "runlink/gateway/gateway_daemon.hpp"
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-/// A store that drops its history may have told nothing for about a second before. What is learned from a
-/// list that is read again counts from that much earlier.
-constexpr core::milliseconds relist_lateness{1200};
+/// A store that drops its history may have sent no changes for about a second before. Items from a repeated
+/// listing count as written this much earlier.
+constexpr core::milliseconds relist_event_gap{1200};
 
 std::string_view event_of(routing::endpoint_directory::change it)
 {
@@ -55,12 +55,12 @@
 
 void gateway_daemon::note_proof(core::time_point sent_at)
 {
-    proven_at_ = std::max(proven_at_.value_or(sent_at), sent_at);
+    configuration_proven_at_ = std::max(configuration_proven_at_.value_or(sent_at), sent_at);
     if (table_is_readable_)
         forwarder_.proven_current(sent_at);
 }
 
-// The store's documents
+// Documents
 
 void gateway_daemon::on_listed(core::time_point now, const std::vector<control::kv_item>& items)
 {
@@ -71,15 +71,15 @@
     std::set<crashes::request_fingerprint> harmful;
     std::set<core::service_id> ordered;
     std::set<core::service_id> recorded;
-    for (const auto& it : items)
+    for (const auto& item : items)
     {
-        auto read = binding_.documents.read(it);
+        auto read = binding_.documents.read(item);
         if (read && std::holds_alternative<routing::endpoint_entry>(read.value()))
         {
             endpoints.push_back(std::get<routing::endpoint_entry>(std::move(read).value()));
             continue;
         }
-        const auto name = binding_.documents.name(it.key);
+        const auto name = binding_.documents.name(item.key);
         if (const auto* endpoint = std::get_if<control::endpoint_key>(&name))
             unreadable.push_back(endpoint->name);
         if (const auto* evacuation = std::get_if<control::evacuation_key>(&name))
@@ -90,13 +90,13 @@
             ordered.insert(order->service);
         if (const auto* record = std::get_if<control::record_key>(&name))
             recorded.insert(record->service);
-        take(now, it, is_listed_ ? now - relist_lateness : now);
+        apply_item(now, item, has_listed_store_ ? now - relist_event_gap : now);
     }
-    is_listed_ = true;
+    has_listed_store_ = true;
     forwarder_.on_endpoints(now, endpoints, unreadable);
     for (const auto it : std::set{findings_.all()})
         if (!harmful.contains(it))
-            forget_harmful(now, it);
+            remove_harmful(now, it);
     forwarder_.on_evacuations(now, evacuated);
     forwarder_.rollouts().on_listed(now, ordered, recorded);
     relay_.remember_all(now, items, follower_.revision());
@@ -109,13 +109,14 @@
 {
     relay_.remember(it);
     if (it.is_deleted)
-        forget(now, it.item.key);
+        remove_item(now, it.item.key);
     else
-        take(now, it.item, now);
+        apply_item(now, it.item, now);
     rearm();
 }
 
-void gateway_daemon::take(core::time_point now, const control::kv_item& item, core::time_point written_at)
+void gateway_daemon::apply_item(core::time_point now, const control::kv_item& item,
+                                core::time_point written_at)
 {
     const auto read = binding_.documents.read(item);
     if (!read)
@@ -127,23 +128,23 @@
             table_is_readable_ = false;
         return log_state("document_refused", item.key + ": " + read.error().detail);
     }
-    const auto& it = read.value();
-    if (const auto* table = std::get_if<routing::routing_table_ptr>(&it))
-        take_table(now, *table, item.revision);
-    else if (const auto* endpoint = std::get_if<routing::endpoint_entry>(&it))
-        take_endpoint(now, *endpoint);
-    else if (const auto* order = std::get_if<routing::rollout_order>(&it))
+    const auto& document = read.value();
+    if (const auto* table = std::get_if<routing::routing_table_ptr>(&document))
+        apply_table(now, *table, item.revision);
+    else if (const auto* endpoint = std::get_if<routing::endpoint_entry>(&document))
+        apply_endpoint(now, *endpoint);
+    else if (const auto* order = std::get_if<routing::rollout_order>(&document))
     {
         forwarder_.on_order(now, *order, written_at);
         log_.write(now, rollout_order_line(*order), observe::log_rank::vital);
     }
-    else if (const auto* harmful = std::get_if<control::harmful_entry>(&it))
-        take_harmful(now, harmful->request);
-    else if (const auto* peer = std::get_if<control::peer_entry>(&it))
-        take_peer(now, *peer);
-    else if (const auto* evacuation = std::get_if<places::evacuation>(&it))
+    else if (const auto* harmful = std::get_if<control::harmful_entry>(&document))
+        apply_harmful(now, harmful->request);
+    else if (const auto* peer = std::get_if<control::peer_entry>(&document))
+        apply_peer(now, *peer);
+    else if (const auto* evacuation = std::get_if<places::evacuation>(&document))
         forwarder_.on_evacuated(evacuation->domain);
-    else if (const auto* record = std::get_if<routing::rollout_record>(&it))
+    else if (const auto* record = std::get_if<routing::rollout_record>(&document))
     {
         forwarder_.rollouts().on_record(now, *record);
         log_.write(now, rollout_record_line(*record, forwarder_.rollouts().standing(record->service)),
@@ -151,8 +152,8 @@
     }
 }
 
-void gateway_daemon::take_table(core::time_point now, const routing::routing_table_ptr& it,
-                                std::uint64_t revision)
+void gateway_daemon::apply_table(core::time_point now, const routing::routing_table_ptr& it,
+                                 std::uint64_t revision)
 {
     if (revision <= table_revision_)
         return;
@@ -164,7 +165,7 @@
     limits.message.max_body_bytes = it->limits().max_body_bytes;
     limits.header_timeout = it->limits().header_timeout;
     limits.idle_timeout = it->limits().idle_timeout;
-    edge_.listener().set_limits(limits);
+    gateway_.listener().set_limits(limits);
     observe::log_line line{"configuration_applied"};
     line.number("table", static_cast<std::int64_t>(it->version()))
         .number("revision", static_cast<std::int64_t>(revision))
@@ -176,7 +177,7 @@
     log_.write(now, line, observe::log_rank::notable);
 }
 
-void gateway_daemon::take_endpoint(core::time_point now, const routing::endpoint_entry& it)
+void gateway_daemon::apply_endpoint(core::time_point now, const routing::endpoint_entry& it)
 {
     const auto change = forwarder_.on_endpoint(now, it);
     if (change == routing::endpoint_directory::change::none)
@@ -186,7 +187,7 @@
     log_.write(now, line, observe::log_rank::notable);
 }
 
-void gateway_daemon::forget(core::time_point now, const std::string& key)
+void gateway_daemon::remove_item(core::time_point now, const std::string& key)
 {
     const auto name = binding_.documents.name(key);
     if (const auto* endpoint = std::get_if<control::endpoint_key>(&name))
@@ -199,7 +200,7 @@
         drop_peer(peer->id);
     }
     if (const auto* harmful = std::get_if<control::harmful_key>(&name))
-        forget_harmful(now, harmful->request);
+        remove_harmful(now, harmful->request);
     if (const auto* evacuation = std::get_if<control::evacuation_key>(&name))
         forwarder_.on_readmitted(now, evacuation->domain);
     if (const auto* order = std::get_if<control::order_key>(&name))
@@ -209,16 +210,16 @@
                    observe::log_rank::vital);
     }
     if (const auto* record = std::get_if<control::record_key>(&name))
-        forget_record(now, record->service);
+        remove_record(now, record->service);
 }
 
-void gateway_daemon::take_harmful(core::time_point now, crashes::request_fingerprint it)
+void gateway_daemon::apply_harmful(core::time_point now, crashes::request_fingerprint it)
 {
     findings_.listed(it);
     forwarder_.attribution().on_recorded(now, it);
 }
 
-void gateway_daemon::forget_harmful(core::time_point now, crashes::request_fingerprint it)
+void gateway_daemon::remove_harmful(core::time_point now, crashes::request_fingerprint it)
 {
     findings_.unlisted(it);
     forwarder_.attribution().on_unrecorded(now, it);
@@ -247,20 +248,20 @@
                        });
 }
 
-void gateway_daemon::forget_record(core::time_point now, const core::service_id& service)
+void gateway_daemon::remove_record(core::time_point now, const core::service_id& service)
 {
     forwarder_.rollouts().on_record_removed(now, service);
     log_.write(now, observe::log_line{"rollout_record_removed"}.text("service", service.str()),
                observe::log_rank::vital);
 }
 
-void gateway_daemon::take_conflict(core::time_point now, const core::service_id& service,
-                                   const control::kv_conflict& it)
+void gateway_daemon::apply_conflict(core::time_point now, const core::service_id& service,
+                                    const control::kv_conflict& it)
 {
     if (it.items.empty())
-        return forget_record(now, service);
+        return remove_record(now, service);
     for (const auto& e : it.items)
-        take(now, e, now);
+        apply_item(now, e, now);
 }
 
 void gateway_daemon::write_record(const routing::rollout_record& it)
@@ -286,9 +287,10 @@
                            }
                            else
                                forwarder_.rollouts().on_write_failed(at, it.service);
-                           // The news of what is there instead may be late, or lost with the store's history.
+                           // The change event for the conflicting record may be late, or lost with the
+                           // store's history.
                            if (const auto* conflict = std::get_if<control::kv_conflict>(&result))
-                               take_conflict(at, it.service, *conflict);
+                               apply_conflict(at, it.service, *conflict);
                            rearm();
                        });
 }
--- a/src/runlink/gateway/gateway_settings.cpp
+++ b/src/runlink/gateway/gateway_settings.cpp
@@ -18,7 +18,7 @@
 constexpr std::int64_t max_ms = 600'000;
 constexpr double max_s = 3600;
 constexpr double max_mbps = 1'000'000;
-constexpr std::int64_t max_lines = 1'000'000;
+constexpr std::int64_t max_lines_per_second = 1'000'000;
 
 std::optional<net::peer_address> parse_address(const std::string& text)
 {
@@ -41,7 +41,8 @@
     return out.value_or(net::peer_address{});
 }
 
-/// Addresses, of which the IP numbers count: platforms name seeds by another port than that of datagrams.
+/// Reads the IP addresses of seeds and ignores their ports: platforms list seeds with a port other than the
+/// one for datagrams.
 std::vector<std::string> read_seeds(json_object_reader& in)
 {
     std::vector<std::string> out;
@@ -65,7 +66,7 @@
     return core::milliseconds{static_cast<core::milliseconds::rep>(s * ms_per_s)};
 }
 
-/// The region of each failure domain, by its name.
+/// Reads the region of each failure domain.
 places::region_map read_regions(json_object_reader& in)
 {
     const auto* all = in.raw("regions");
@@ -73,7 +74,7 @@
         return {};
     std::map<core::failure_domain_id, core::region_id> out;
     if (!all->is_object())
-        in.fault("regions", "must be an object of failure domains and their regions");
+        in.fault("regions", "must be an object that maps failure domains to regions");
     else
         for (const auto& [domain, region] : all->items())
             if (region.is_string())
@@ -98,24 +99,24 @@
 
 void read_tuning(json_object_reader& in, forwarding_tuning& out)
 {
-    constexpr double most_of_target = 20;
+    constexpr double max_factor = 20;
     out.start_small = in.optional_bool("start_small", out.start_small);
     out.accept_confidence =
         static_cast<int>(in.optional_integer("accept_confidence", out.accept_confidence, 0, 101));
     out.accept_confidence_late =
         static_cast<int>(in.optional_integer("accept_confidence_late", out.accept_confidence_late, 0, 101));
     out.far_per_kb = read_ms(in, "far_ms_per_kb", out.far_per_kb);
-    out.again_weight = in.optional_number("again_weight", out.again_weight, 0, most_of_target);
-    constexpr std::int64_t most_weight = 1000;
-    out.late_weight = static_cast<int>(in.optional_integer("late_weight", out.late_weight, 0, most_weight));
+    out.again_weight = in.optional_number("again_weight", out.again_weight, 0, max_factor);
+    constexpr std::int64_t max_weight = 1000;
+    out.late_weight = static_cast<int>(in.optional_integer("late_weight", out.late_weight, 0, max_weight));
     out.least_told = read_ms(in, "least_told_ms", out.least_told);
     out.prompts_kept_for = read_ms(in, "prompts_kept_for_ms", out.prompts_kept_for);
-    constexpr std::int64_t most_senders = 1000;
+    constexpr std::int64_t max_senders = 1000;
     out.cold_senders = static_cast<std::size_t>(
-        in.optional_integer("cold_senders", static_cast<std::int64_t>(out.cold_senders), 0, most_senders));
-    out.hedge_after = in.optional_number("hedge_after", out.hedge_after, 0, most_of_target);
-    out.move_after = in.optional_number("move_after", out.move_after, 0, most_of_target);
-    out.stall_after = in.optional_number("stall_after", out.stall_after, 0, most_of_target);
+        in.optional_integer("cold_senders", static_cast<std::int64_t>(out.cold_senders), 0, max_senders));
+    out.hedge_after = in.optional_number("hedge_after", out.hedge_after, 0, max_factor);
+    out.move_after = in.optional_number("move_after", out.move_after, 0, max_factor);
+    out.stall_after = in.optional_number("stall_after", out.stall_after, 0, max_factor);
 }
 
 void read_all(json_object_reader& in, gateway_settings& out)
@@ -147,7 +148,7 @@
     in.object("bounds", [&](auto& e) { read_bounds(e, out); });
     in.object("tuning", [&](auto& e) { read_tuning(e, out.tuning); });
     out.log_lines_per_second = static_cast<std::uint32_t>(
-        in.optional_integer("log_lines_per_second", out.log_lines_per_second, 1, max_lines));
+        in.optional_integer("log_lines_per_second", out.log_lines_per_second, 1, max_lines_per_second));
 }
 
 } // namespace
--- a/src/runlink/gateway/gateway_test.cpp
+++ b/src/runlink/gateway/gateway_test.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read into a typed message")
+TEST_CASE("a caller's request is parsed")
 {
     const header_names names;
     const auto it = read_request(names, make_head({{"Host", "h"},
@@ -55,7 +55,7 @@
     CHECK(it.value().last_event == 7U);
 }
 
-TEST_CASE("fields that cannot be read are a typed failure")
+TEST_CASE("a request with an invalid field is rejected")
 {
     const header_names names;
     const auto fails = [&](net::http_field it) {
@@ -69,7 +69,7 @@
     CHECK_FALSE(read_request(names, make_head({})));
 }
 
-TEST_CASE("a limit is read from whatever answer of the endpoint that was asked; what is no number is none")
+TEST_CASE("a limit is read from an endpoint's answer of any status; values that are not numbers are ignored")
 {
     const header_names names;
     const core::request_id request{"r1"};
@@ -105,7 +105,7 @@
     CHECK_FALSE(read_statement(names, surplus, request));
 }
 
-TEST_CASE("leaving is read from whatever answer, rest from a 503")
+TEST_CASE("a shutdown notice is read from an answer of any status, a rest only from a 503")
 {
     const header_names names;
     const auto read = [&](int status, const std::string& name, const std::string& value)
@@ -132,7 +132,7 @@
     CHECK_FALSE(read(503, names.rest, "-1").rest);
 }
 
-TEST_CASE("what only the system may set never comes from a caller, however it is spelled")
+TEST_CASE("reserved fields of callers are removed in any spelling")
 {
     header_names names;
     names.reserved = {"X-Hold"};
@@ -163,7 +163,7 @@
     CHECK(bytes.ends_with("Content-Length: 4\r\n\r\nbody"));
 }
 
-TEST_CASE("an answer belongs to a request by its id; only refusals may lack it")
+TEST_CASE("an answer is matched to its request by id; only refusals may lack the id")
 {
     const header_names names;
     net::http_response_head head;
@@ -175,7 +175,7 @@
     CHECK_FALSE(is_answer_to(names, head, core::request_id{"r1"}));
 }
 
-TEST_CASE("an answer with an encoding is not the endpoint's own")
+TEST_CASE("an answer with a content encoding does not count as sealed by the endpoint")
 {
     const header_names names;
     net::http_response_head head;
@@ -186,7 +186,7 @@
     CHECK_FALSE(read_attempt_head(names, head).is_sealed);
 }
 
-TEST_CASE("a refusal tells when to come back only if the request did not run")
+TEST_CASE("a refusal has Retry-After only if the request did not run")
 {
     const core::failure why{core::errc::overloaded, "x", core::milliseconds{300}};
     CHECK(write_refusal({503, true, why}, "r1", false).find("Retry-After: 0.300") != std::string::npos);
@@ -194,7 +194,7 @@
     CHECK(write_refusal({502, false, why}, "r1", false).find("unknown") != std::string::npos);
 }
 
-TEST_CASE("settings are read strictly, with the path of what is wrong")
+TEST_CASE("settings are validated strictly, and faults are reported with their paths")
 {
     const auto good = parse_gateway_settings(settings_text);
     REQUIRE(good);
@@ -211,7 +211,7 @@
         CHECK(bad.error().detail.find(path) != std::string::npos);
 }
 
-TEST_CASE("regions of failure domains are read, and what is no region is named")
+TEST_CASE("regions of failure domains are read, and invalid ones are reported")
 {
     auto text = std::string{settings_text};
     text.insert(text.find('{') + 1, R"("regions": {"n": "here"}, )");
@@ -230,7 +230,7 @@
     }
 }
 
-TEST_CASE("datagrams keep what they carry, and other bytes are no message")
+TEST_CASE("datagrams keep their contents when encoded and decoded; invalid bytes are rejected")
 {
     routing::gossip_message it;
     it.sender = core::instance_id{"a"};
@@ -300,7 +300,7 @@
     CHECK(std::holds_alternative<std::monostate>(proto::decode_datagram("")));
 }
 
-TEST_CASE("prompts are told to instances of the own failure domain, roll-outs to all")
+TEST_CASE("in a large fleet, prompts go to the own failure domain and rollout evidence to all instances")
 {
     struct heard
     {
@@ -328,24 +328,24 @@
     REQUIRE(it.bind("127.0.0.1", 0));
     it.put_peer({core::instance_id{"b"}, n, "127.0.0.1", near_link.bind("127.0.0.1", 0).value(), 0});
     it.put_peer({core::instance_id{"c"}, s, "127.0.0.1", far_link.bind("127.0.0.1", 0).value(), 0});
-    it.tell(routing::prompt_sent{});
+    it.broadcast(routing::prompt_sent{});
     REQUIRE(tests::wait_for([&] { return near_one.prompts == 1 && far_one.prompts == 1; }));
-    it.set_most_far_peers(1); // a fleet in which telling all would cost too much
-    CHECK_FALSE(it.tells_far());
+    it.set_max_peers_for_all_domains(1); // a fleet too large to send prompts to every instance
+    CHECK_FALSE(it.sends_prompts_to_all_domains());
     near_one = far_one = {};
-    it.tell(routing::prompt_sent{});
-    it.tell(routing::session_run{});
+    it.broadcast(routing::prompt_sent{});
+    it.broadcast(routing::session_run{});
     REQUIRE(tests::wait_for([&] { return near_one.prompts == 1 && far_one.runs == 1; }));
     CHECK(far_one.prompts == 0);
-    it.tell(std::vector<routing::version_evidence>(1)); // without news of a session
+    it.broadcast(std::vector<routing::version_evidence>(1)); // without a session run
     REQUIRE(tests::wait_for([&] { return near_one.evidence == 1 && far_one.evidence == 1; }));
-    it.set_most_far_peers(2);
-    CHECK(it.tells_far());
-    it.tell(routing::prompt_sent{});
+    it.set_max_peers_for_all_domains(2);
+    CHECK(it.sends_prompts_to_all_domains());
+    it.broadcast(routing::prompt_sent{});
     CHECK(tests::wait_for([&] { return far_one.prompts == 1; }));
 }
 
-TEST_CASE("a turn that comes long after its timer was due follows a pause, and a late one does not")
+TEST_CASE("a turn long after its timer was due follows a pause; a slightly late turn does not")
 {
     const core::time_point start{core::seconds{100}};
     const auto at = [&](int ms) { return start + core::milliseconds{ms}; };
@@ -361,7 +361,7 @@
     CHECK_FALSE(it.turn(at(5001)));
 }
 
-TEST_CASE("news of endpoints that ended reach the instances of every failure domain, as they were told")
+TEST_CASE("crash reports reach instances of every failure domain unchanged")
 {
     std::optional<crashes::crash_news> heard;
     const core::failure_domain_id n{"n"};
@@ -371,12 +371,12 @@
                          [&](const proto::datagram& e) { heard = std::get<crashes::crash_news>(e); }};
     REQUIRE(it.bind("127.0.0.1", 0));
     it.put_peer({core::instance_id{"c"}, s, "127.0.0.1", far_link.bind("127.0.0.1", 0).value(), 0});
-    it.set_most_far_peers(0);
+    it.set_max_peers_for_all_domains(0);
     const crashes::request_fingerprint request{1};
     const crashes::endpoint_life endpoint{2};
-    it.tell({{{endpoint, {{request, core::milliseconds{300}}}}},
-             {{request, endpoint, true, false}},
-             {{request, crashes::conduct::harmful}}});
+    it.broadcast({{{endpoint, {{request, core::milliseconds{300}}}}},
+                  {{request, endpoint, true, false}},
+                  {{request, crashes::conduct::harmful}}});
     REQUIRE(tests::wait_for([&] { return heard.has_value(); }));
     REQUIRE(heard->reports.size() == 1);
     CHECK(heard->reports[0].endpoint == endpoint);
--- a/src/runlink/gateway/gossip_link.cpp
+++ b/src/runlink/gateway/gossip_link.cpp
@@ -12,41 +12,42 @@
 namespace
 {
 
-/// What is told within this time goes into one datagram. A session's next request is seldom this close.
-constexpr std::chrono::milliseconds gather_time{30};
-/// The same for prompts: an endpoint reads a long one for several times as long.
-constexpr std::chrono::milliseconds prompts_gather_time{60};
-/// Bound on one datagram, below what a link carries in one piece.
-constexpr std::size_t max_runs = 50;
-/// Datagrams above this are compressed: configurations shrink to a fifth or less, lists of endpoints to a
-/// tenth.
-constexpr std::size_t least_to_compress = 600;
-/// Bytes that a compressed datagram may grow to. Larger ones count as damaged.
-constexpr std::uint32_t most_unpacked = 4 * 1024 * 1024;
-/// The compressor's least effort: the links are local and processors small.
+/// Session runs are batched into one datagram for this long. The next request of a session rarely follows
+/// sooner.
+constexpr std::chrono::milliseconds run_batch_time{30};
+/// Batching time for prompts: an endpoint takes several times as long to read a long one.
+constexpr std::chrono::milliseconds prompt_batch_time{60};
+/// Session runs per datagram, which keeps it below the size that a link carries unfragmented.
+constexpr std::size_t max_runs_per_datagram = 50;
+/// Messages of at least this size are compressed. Configurations shrink to a fifth or less, endpoint lists to
+/// a tenth.
+constexpr std::size_t min_bytes_to_compress = 600;
+/// Limit of the uncompressed size. Larger datagrams are treated as damaged.
+constexpr std::uint32_t max_uncompressed_bytes = 4 * 1024 * 1024;
+/// The fastest level: the links are local and the processors are small.
 constexpr int compression_level = 1;
-/// The first byte of a datagram says whether the rest is compressed.
-constexpr char plain_mark = 0;
+/// First byte of a datagram, which tells whether the rest is compressed.
+constexpr char uncompressed_mark = 0;
 constexpr char compressed_mark = 1;
 
 QByteArray pack(const std::string& message)
 {
     const QByteArray plain{message.data(), static_cast<qsizetype>(message.size())};
-    if (message.size() < least_to_compress)
-        return plain_mark + plain;
+    if (message.size() < min_bytes_to_compress)
+        return uncompressed_mark + plain;
     return compressed_mark + qCompress(plain, compression_level);
 }
 
-/// The message of a datagram, or nothing if it is damaged.
+/// Returns the message of a datagram; empty if the datagram is damaged.
 QByteArray unpack(const QByteArray& datagram)
 {
     auto body = datagram.sliced(std::min<qsizetype>(1, datagram.size()));
-    if (datagram.startsWith(plain_mark))
+    if (datagram.startsWith(uncompressed_mark))
         return body;
-    // Qt's format begins with the length of what was compressed.
+    // Qt's format starts with the uncompressed length.
     constexpr qsizetype length_bytes = sizeof(std::uint32_t);
     if (!datagram.startsWith(compressed_mark) || body.size() < length_bytes ||
-        qFromBigEndian<std::uint32_t>(body.constData()) > most_unpacked)
+        qFromBigEndian<std::uint32_t>(body.constData()) > max_uncompressed_bytes)
         return {};
     return qUncompress(body);
 }
@@ -56,10 +57,10 @@
 gossip_link::gossip_link(core::instance_id self, core::failure_domain_id own_domain, handler on_message)
     : self_{std::move(self)}, own_domain_{std::move(own_domain)}, on_message_{std::move(on_message)}
 {
-    timer_.setSingleShot(true);
-    QObject::connect(&timer_, &QTimer::timeout, &timer_, [this] { send(); });
-    prompts_timer_.setSingleShot(true);
-    QObject::connect(&prompts_timer_, &QTimer::timeout, &prompts_timer_, [this] { send_prompts(); });
+    run_timer_.setSingleShot(true);
+    QObject::connect(&run_timer_, &QTimer::timeout, &run_timer_, [this] { send_runs(); });
+    prompt_timer_.setSingleShot(true);
+    QObject::connect(&prompt_timer_, &QTimer::timeout, &prompt_timer_, [this] { send_prompts(); });
     QObject::connect(&socket_, &QUdpSocket::readyRead, &socket_, [this] { receive(); });
 }
 
@@ -104,37 +105,37 @@
     not_sent_.last_bytes = static_cast<std::size_t>(bytes.size());
 }
 
-void gossip_link::tell(const routing::session_run& it)
+void gossip_link::broadcast(const routing::session_run& it)
 {
     if (peers_.empty())
         return;
-    pending_.push_back(it);
-    if (pending_.size() >= max_runs)
-        return send();
-    if (!timer_.isActive())
-        timer_.start(gather_time);
+    pending_runs_.push_back(it);
+    if (pending_runs_.size() >= max_runs_per_datagram)
+        return send_runs();
+    if (!run_timer_.isActive())
+        run_timer_.start(run_batch_time);
 }
 
-void gossip_link::tell(const routing::prompt_sent& it)
+void gossip_link::broadcast(const routing::prompt_sent& it)
 {
     if (peers_.empty())
         return;
     pending_prompts_.push_back(it);
-    start_prompts_timer();
+    start_prompt_timer();
 }
 
-void gossip_link::tell(const routing::prompt_answered& it)
+void gossip_link::broadcast(const routing::prompt_answered& it)
 {
     if (peers_.empty())
         return;
     pending_answers_.push_back(it);
-    start_prompts_timer();
+    start_prompt_timer();
 }
 
-void gossip_link::start_prompts_timer()
+void gossip_link::start_prompt_timer()
 {
-    if (!prompts_timer_.isActive())
-        prompts_timer_.start(prompts_gather_time);
+    if (!prompt_timer_.isActive())
+        prompt_timer_.start(prompt_batch_time);
 }
 
 void gossip_link::send_prompts()
@@ -142,27 +143,27 @@
     routing::gossip_message out;
     out.prompts = std::exchange(pending_prompts_, {});
     out.answers = std::exchange(pending_answers_, {});
-    send_to_all(out, !tells_far());
+    send_to_all(out, !sends_prompts_to_all_domains());
 }
 
-void gossip_link::send_to_all(const proto::datagram& it, bool only_near)
+void gossip_link::send_to_all(const proto::datagram& it, bool own_domain_only)
 {
     const auto bytes = pack(proto::encode(it));
     for (const auto& [id, to] : peers_)
-        if (to.is_near || !only_near)
+        if (to.in_own_domain || !own_domain_only)
             write(to, bytes);
 }
 
-void gossip_link::send()
+void gossip_link::send_runs()
 {
-    timer_.stop();
+    run_timer_.stop();
     routing::gossip_message out;
     out.sender = self_;
-    out.runs = std::exchange(pending_, {});
+    out.runs = std::exchange(pending_runs_, {});
     send_to_all(out, false);
 }
 
-void gossip_link::tell(std::vector<routing::version_evidence> it)
+void gossip_link::broadcast(std::vector<routing::version_evidence> it)
 {
     routing::gossip_message out;
     out.sender = self_;
@@ -177,7 +178,7 @@
         const auto datagram = socket_.receiveDatagram();
         const auto bytes = unpack(datagram.data());
         const auto message = proto::decode_datagram({bytes.data(), static_cast<std::size_t>(bytes.size())});
-        // A seed is known by its address before its entry is listed.
+        // A seed is known only by its address until its entry is listed.
         if (const auto* reply = std::get_if<control::sync_reply>(&message))
             if (!peers_.contains(reply->sender))
                 addresses_[reply->sender] = {datagram.senderAddress(),
--- a/src/runlink/gateway/kv_http_store.cpp
+++ b/src/runlink/gateway/kv_http_store.cpp
@@ -7,12 +7,12 @@
 namespace
 {
 
-/// Told to handlers when no answer came.
+/// Passed to handlers if there was no answer.
 constexpr int no_status = 0;
 constexpr int status_too_many = 429;
 constexpr int status_unavailable = 503;
-/// Calls are a second or two apart; the store keeps idle connections for longer.
-constexpr core::milliseconds max_rest{10000};
+/// Calls are one or two seconds apart, and the store keeps idle connections for longer than this limit.
+constexpr core::milliseconds max_idle_time{10000};
 
 } // namespace
 
@@ -63,17 +63,17 @@
 kv_http_store::call_ptr kv_http_store::send(const control::http_call& request, core::milliseconds timeout,
                                             answer_handler handler)
 {
-    auto it = std::make_shared<call>();
-    it->handler = std::move(handler);
-    it->timer.setSingleShot(true);
-    QObject::connect(&it->timer, &QTimer::timeout, &it->timer,
-                     [this, weak = std::weak_ptr{it}]
+    auto pending = std::make_shared<call>();
+    pending->handler = std::move(handler);
+    pending->timer.setSingleShot(true);
+    QObject::connect(&pending->timer, &QTimer::timeout, &pending->timer,
+                     [this, weak = std::weak_ptr{pending}]
                      {
-                         const auto e = weak.lock();
-                         if (!e)
+                         const auto expired = weak.lock();
+                         if (!expired)
                              return;
-                         const auto exchange = e->exchange.lock();
-                         finish(e, no_status);
+                         const auto exchange = expired->exchange.lock();
+                         finish(expired, no_status);
                          if (exchange)
                              exchange->abandon();
                      });
@@ -85,16 +85,17 @@
         head.fields.add("Content-Type", "application/json");
     net::exchange_hooks hooks;
     hooks.sent = [] {};
-    hooks.head = [it](const net::http_response_head& e) { it->status = e.status; };
-    hooks.body = [it](std::string_view e) { it->body.append(e); };
-    hooks.end = [this, it] { finish(it, it->status); };
-    hooks.failed = [this, it](net::exchange_failure) { finish(it, no_status); };
+    hooks.head = [pending](const net::http_response_head& e) { pending->status = e.status; };
+    hooks.body = [pending](std::string_view e) { pending->body.append(e); };
+    hooks.end = [this, pending] { finish(pending, pending->status); };
+    hooks.failed = [this, pending](net::exchange_failure) { finish(pending, no_status); };
     net::exchange_options options;
     options.connect_timeout = options_.connect_timeout;
-    options.max_rest = max_rest;
-    it->timer.start(timeout);
-    it->exchange = pool_.send(address_, net::write_request(head, request.body), options, std::move(hooks));
-    return it;
+    options.max_rest = max_idle_time;
+    pending->timer.start(timeout);
+    pending->exchange =
+        pool_.send(address_, net::write_request(head, request.body), options, std::move(hooks));
+    return pending;
 }
 
 void kv_http_store::finish(const call_ptr& it, int status)
--- a/src/runlink/gateway/signal_watcher.cpp
+++ b/src/runlink/gateway/signal_watcher.cpp
@@ -11,12 +11,13 @@
 namespace
 {
 
-int write_fd = -1; // of the watcher that exists
+int write_fd = -1; // pipe of the current watcher
 
 extern "C" void forward_signal(int number)
 {
     const auto byte = static_cast<unsigned char>(number);
-    // A full pipe holds signals enough to act on; there is nobody to tell.
+    // A failed write is ignored: a full pipe already holds signals to act on, and a handler cannot report
+    // errors.
     (void)!write(write_fd, &byte, 1);
 }
 
--- a/src/runlink/gateway/statement_reader.cpp
+++ b/src/runlink/gateway/statement_reader.cpp
@@ -11,10 +11,10 @@
 
 constexpr int status_misdirected = 421;
 constexpr int status_unavailable = 503;
-/// Longer rests count as this long; it is far above the life of most endpoints.
-constexpr double longest_rest_s = 86'400;
+/// Longer rests are shortened to this value, which is far above the lifetime of most endpoints.
+constexpr double max_rest_s = 86'400;
 
-/// A decimal number that is not negative.
+/// Parses a finite, non-negative decimal number.
 std::optional<double> read_decimal(std::string_view text)
 {
     double out = 0;
@@ -23,11 +23,11 @@
     return is_whole && std::isfinite(out) && !std::signbit(out) ? std::optional{out} : std::nullopt;
 }
 
-/// What one field says.
+/// Value of a header field that holds a decimal number.
 struct decimal_field
 {
     std::optional<double> value;
-    bool is_readable = true; ///< it is not there, or one number, in however many copies
+    bool is_readable = true; ///< the field is missing, or all its copies hold the same number
 };
 
 decimal_field read_field(const net::http_fields& fields, const std::string& name)
@@ -48,7 +48,7 @@
 core::duration to_duration(double seconds)
 {
     constexpr double us_per_s = 1e6;
-    return core::duration{static_cast<core::duration::rep>(std::min(seconds, longest_rest_s) * us_per_s)};
+    return core::duration{static_cast<core::duration::rep>(std::min(seconds, max_rest_s) * us_per_s)};
 }
 
 } // namespace
--- a/src/runlink/gateway/translation.cpp
+++ b/src/runlink/gateway/translation.cpp
@@ -17,7 +17,7 @@
 
 constexpr int first_success = 200;
 constexpr int first_redirect = 300;
-/// Used for callers that do not say how long they wait.
+/// Deadline of requests that do not name one.
 constexpr core::milliseconds default_deadline{60000};
 
 template <class Number>
@@ -27,8 +27,8 @@
     return ec == std::errc{} && last == text.data() + text.size();
 }
 
-/// A name in lower case with dashes only: some servers take underscores for dashes.
-std::string normal_name(std::string_view name)
+/// Converts a field name to lower case and underscores to dashes: some servers treat the two as equal.
+std::string normalize_name(std::string_view name)
 {
     std::string out{name};
     for (auto& it : out)
@@ -38,8 +38,8 @@
 
 bool is_reserved(const header_names& names, std::string_view name)
 {
-    const auto normal = normal_name(name);
-    const auto is = [&](std::string_view it) { return normal == normal_name(it); };
+    const auto normal = normalize_name(name);
+    const auto is = [&](std::string_view it) { return normal == normalize_name(it); };
     return std::any_of(names.reserved.begin(), names.reserved.end(), is) || is(names.account) ||
            is(names.key) || is(names.expected_endpoint) || is(names.priority);
 }
