--- a/include/runlink/gateway/gateway.hpp
+++ b/include/runlink/gateway/gateway.hpp
@@ -46,7 +46,7 @@
 
     /// Hooks to construct the forwarder with.
     routing::forwarder_hooks hooks();
-    /// Sets the forwarder, which must outlive this object. Call before `listen`.
+    /// Sets the forwarder, which must exist while events are handled. Call before `listen`.
     void attach(routing::request_forwarder& it) { forwarder_ = &it; }
 
     /// Returns the port in use, which the system chooses if `port` is 0.
@@ -59,7 +59,7 @@
     std::function<void()> on_activity = [] {};
     /// Called for a request of a session that ran at an endpoint, to be announced to other instances.
     std::function<void(const routing::session_run&)> on_session_run = [](const auto&) {};
-    /// Called when a prompt was sent to an endpoint and when its answer arrived.
+    /// Called with prompts sent to endpoints and with their answers, to be announced to other instances.
     std::function<void(const routing::prompt_sent&)> on_prompt_sent = [](const auto&) {};
     std::function<void(const routing::prompt_answered&)> on_prompt_answered = [](const auto&) {};
     /// Called with crash reports to be announced to other instances.
--- a/include/runlink/gateway/gateway_daemon.hpp
+++ b/include/runlink/gateway/gateway_daemon.hpp
@@ -141,8 +141,7 @@
     core::time_point next_housekeeping_{};
     core::time_point next_store_call_log_{};
     routing::load_exchange remote_loads_;
-    std::optional<core::time_point>
-        next_digest_; ///< set while this relay exchanges loads with other failure domains
+    std::optional<core::time_point> next_digest_; ///< set while this relay exchanges loads with other relays
     std::optional<core::time_point> configuration_proven_at_;
     std::uint64_t table_revision_ = 0;
     bool table_is_readable_ = false;
--- a/include/runlink/gateway/header_names.hpp
+++ b/include/runlink/gateway/header_names.hpp
@@ -17,8 +17,7 @@
     std::string key = "Runlink-Key";
     std::string session = "Runlink-Session";
     std::string model = "Runlink-Model";
-    std::string tokens =
-        "Runlink-Tokens"; ///< prompt tokens and maximum generated tokens, separated by a comma
+    std::string tokens = "Runlink-Tokens"; ///< prompt tokens and maximum new tokens, separated by a comma
     std::string prompt = "Runlink-Prompt"; ///< parts of the prompt as ID:TOKENS, separated by commas
     std::string last_event = "Last-Event-Id";
     // To endpoints
