--- a/include/runlink/gateway/gateway.hpp
+++ b/include/runlink/gateway/gateway.hpp
@@ -63,7 +63,7 @@
     std::function<void(const routing::prompt_sent&)> on_prompt_sent = [](const auto&) {};
     std::function<void(const routing::prompt_answered&)> on_prompt_answered = [](const auto&) {};
     /// Called with crash reports to be announced to other instances.
-    std::function<void(const crashes::crash_news&)> on_crash_seen = [](const auto&) {};
+    std::function<void(const crashes::crash_message&)> on_crash_seen = [](const auto&) {};
     /// Called with limits advertised by endpoints, to be announced to other instances; see `forwarder_hooks`.
     std::function<void(const std::vector<core::instance_id>&, const std::vector<places::limit_report>&)>
         on_limits_told = [](const auto&, const auto&) {};
--- a/include/runlink/gateway/gossip_link.hpp
+++ b/include/runlink/gateway/gossip_link.hpp
@@ -55,7 +55,7 @@
     void broadcast(const routing::prompt_answered& it);
     /// Sent immediately: each copy of the request that another instance sends meanwhile may crash an
     /// endpoint.
-    void broadcast(const crashes::crash_news& it) { send_to_all(it, false); }
+    void broadcast(const crashes::crash_message& it) { send_to_all(it, false); }
     /// Sent immediately: requests sent to an endpoint that shuts down may be interrupted.
     void broadcast(const routing::leaving_notices& it) { send_to_all(it, false); }
     /// Sent immediately: other instances delay their own sends to stay within the limit.
--- a/src/runlink/gateway/gateway.cpp
+++ b/src/runlink/gateway/gateway.cpp
@@ -62,13 +62,13 @@
         if (const auto it = take_call(flow))
             refuse(it->connection, why, it->request_id);
     };
-    out.session_ran = [this](const routing::session_run& it) { on_session_run(it); };
-    out.prompt_went = [this](const routing::prompt_sent& it) { on_prompt_sent(it); };
-    out.prompt_came = [this](const routing::prompt_answered& it) { on_prompt_answered(it); };
-    out.crash_seen = [this](const crashes::crash_news& it) { on_crash_seen(it); };
-    out.tell_limits = [this](const std::vector<core::instance_id>& to,
-                             const std::vector<places::limit_report>& it) { on_limits_told(to, it); };
-    out.tell_leaving = [this](const routing::leaving_notices& it) { on_leaving_told(it); };
+    out.announce_session_run = [this](const routing::session_run& it) { on_session_run(it); };
+    out.announce_prompt_sent = [this](const routing::prompt_sent& it) { on_prompt_sent(it); };
+    out.announce_prompt_answered = [this](const routing::prompt_answered& it) { on_prompt_answered(it); };
+    out.announce_crashes = [this](const crashes::crash_message& it) { on_crash_seen(it); };
+    out.announce_limits = [this](const std::vector<core::instance_id>& to,
+                                 const std::vector<places::limit_report>& it) { on_limits_told(to, it); };
+    out.announce_leaving = [this](const routing::leaving_notices& it) { on_leaving_told(it); };
     out.found_harmful = [this](crashes::request_fingerprint it) { on_harmful_found(it); };
     out.log = [this](const routing::decision& it) { log(it); };
     out.ended = [this](const routing::decision& it, core::duration after) { on_ended(it, after); };
@@ -139,7 +139,7 @@
     attempts_.emplace(order.id, it);
     net::exchange_options options;
     options.connect_timeout = options_.connect_timeout;
-    options.max_rest = order.fresh_connection ? core::milliseconds{0} : options_.max_rest;
+    options.max_rest = order.needs_new_connection ? core::milliseconds{0} : options_.max_rest;
     const net::peer_address peer{order.endpoint.host, order.endpoint.port};
     it->exchange =
         pool_.send(peer, write_attempt(names_, from.head, from.body, order), options, exchange_hooks(it));
@@ -231,7 +231,7 @@
                                      .text("endpoint", endpoint.id.str())
                                      .text("service", endpoint.service.str()),
                                  observe::log_rank::notable);
-                  forwarder_->on_asked(clock_(), endpoint.id, it);
+                  forwarder_->on_probe_result(clock_(), endpoint.id, it);
                   on_activity();
               });
 }
--- a/src/runlink/gateway/gateway_daemon.cpp
+++ b/src/runlink/gateway/gateway_daemon.cpp
@@ -66,7 +66,7 @@
     gateway_.on_session_run = [this](const routing::session_run& it) { gossip_.broadcast(it); };
     gateway_.on_prompt_sent = [this](const routing::prompt_sent& it) { gossip_.broadcast(it); };
     gateway_.on_prompt_answered = [this](const routing::prompt_answered& it) { gossip_.broadcast(it); };
-    gateway_.on_crash_seen = [this](const crashes::crash_news& it) { gossip_.broadcast(it); };
+    gateway_.on_crash_seen = [this](const crashes::crash_message& it) { gossip_.broadcast(it); };
     gateway_.on_limits_told =
         [this](const std::vector<core::instance_id>& to, const std::vector<places::limit_report>& it)
     {
@@ -87,7 +87,7 @@
     forwarder_.rollouts().on_verdict =
         [this](const core::service_id& service, const routing::version_fault& why)
     {
-        log_.write(clock_(), version_found_bad_line(service, why, forwarder_.rollouts().standing(service)),
+        log_.write(clock_(), version_found_bad_line(service, why, forwarder_.rollouts().status(service)),
                    observe::log_rank::vital);
     };
     timer_.setSingleShot(true);
@@ -121,7 +121,7 @@
     out.chooser.placement.least_told = tuning.least_told;
     out.chooser.placement.kept.kept_for = tuning.prompts_kept_for;
     out.bounds.warm_up.senders = tuning.cold_senders;
-    out.directory.last_resort = std::max(settings_.drain - drain_margin, core::milliseconds{0});
+    out.directory.last_resort_time = std::max(settings_.drain - drain_margin, core::milliseconds{0});
     out.regions = settings_.regions;
     out.hedge_after = tuning.hedge_after;
     out.move_after = tuning.move_after;
@@ -270,9 +270,10 @@
         next_digest_ = now;
     // Followers accept only recent proofs from relays.
     const auto options = control::relay_options::within(settings_.configuration_apply);
-    follower_.set_proof_interval(relay_.is_used() ? options.proof_interval()
-                                                  : control::follower_options{}.proof_interval);
-    follower_.set_gather(relay_.is_used() ? options.gather : control::follower_options{}.gather);
+    follower_.set_proof_interval(relay_.uses_relays() ? options.proof_interval()
+                                                      : control::follower_options{}.proof_interval);
+    follower_.set_gather_delay(relay_.uses_relays() ? options.gather_delay
+                                                    : control::follower_options{}.gather_delay);
     if (now >= next_store_call_log_)
     {
         next_store_call_log_ = now + store_call_log_interval;
--- a/src/runlink/gateway/gateway_daemon_peers.cpp
+++ b/src/runlink/gateway/gateway_daemon_peers.cpp
@@ -56,7 +56,8 @@
         follower_.start_with(std::move(items), it.revision);
         relay_.remember_view(it.events, it.complete_since);
     };
-    out.introduce = [this](core::time_point now, const core::instance_id& by) { relay_.introduce(now, by); };
+    out.set_initial_source = [this](core::time_point now, const core::instance_id& by)
+    { relay_.set_initial_source(now, by); };
     out.settle = [this](core::time_point now)
     {
         log_state("settled", std::to_string(gossip_.peer_count()) + " other instances");
@@ -152,7 +153,7 @@
         on_sync_request(now, *request);
     else if (const auto* load = std::get_if<routing::load_digest>(&it))
         on_load_digest(now, *load);
-    else if (const auto* crashes = std::get_if<crashes::crash_news>(&it))
+    else if (const auto* crashes = std::get_if<crashes::crash_message>(&it))
         forwarder_.on_crash_news(now, *crashes);
     else if (const auto* leaving = std::get_if<routing::leaving_notices>(&it))
         forwarder_.on_leaving_told(now, *leaving);
@@ -221,10 +222,10 @@
     if (!relay_.is_relay() || gossip_.sends_prompts_to_all_domains())
         return;
     next_digest_ = now + remote_loads_.options().interval;
-    gossip_.send_to(relay_.other_relays(), forwarder_.near_loads(now, remote_loads_.options().least_load));
+    gossip_.send_to(relay_.other_relays(), forwarder_.local_loads(now, remote_loads_.options().least_load));
     const auto far = remote_loads_.merged(now);
     gossip_.broadcast_in_domain(far);
-    forwarder_.on_far_loads(now, far);
+    forwarder_.on_remote_loads(now, far);
 }
 
 void gateway_daemon::on_load_digest(core::time_point now, const routing::load_digest& it)
@@ -232,7 +233,7 @@
     if (!it.domain.empty())
         remote_loads_.on_digest(now, it); // from another relay
     else if (!gossip_.sends_prompts_to_all_domains())
-        forwarder_.on_far_loads(now, it);
+        forwarder_.on_remote_loads(now, it);
 }
 
 void gateway_daemon::on_gossip(core::time_point now, const routing::gossip_message& it)
--- a/src/runlink/gateway/gateway_daemon_store.cpp
+++ b/src/runlink/gateway/gateway_daemon_store.cpp
@@ -147,7 +147,7 @@
     else if (const auto* record = std::get_if<routing::rollout_record>(&document))
     {
         forwarder_.rollouts().on_record(now, *record);
-        log_.write(now, rollout_record_line(*record, forwarder_.rollouts().standing(record->service)),
+        log_.write(now, rollout_record_line(*record, forwarder_.rollouts().status(record->service)),
                    observe::log_rank::vital);
     }
 }
@@ -270,7 +270,7 @@
     control::kv_transaction write;
     write.conditions.push_back({item.key, it.revision});
     write.writes.push_back(std::move(item));
-    log_.write(clock_(), rollout_write_line(it, forwarder_.rollouts().standing(it.service)),
+    log_.write(clock_(), rollout_write_line(it, forwarder_.rollouts().status(it.service)),
                observe::log_rank::vital);
     store_port_.commit(write,
                        [this, it](const control::kv_commit_result& result)
--- a/src/runlink/gateway/gateway_test.cpp
+++ b/src/runlink/gateway/gateway_test.cpp
@@ -363,29 +363,29 @@
 
 TEST_CASE("crash reports reach instances of every failure domain unchanged")
 {
-    std::optional<crashes::crash_news> heard;
+    std::optional<crashes::crash_message> heard;
     const core::failure_domain_id n{"n"};
     const core::failure_domain_id s{"s"};
     gossip_link it{core::instance_id{"a"}, n, [](const auto&) {}};
     gossip_link far_link{core::instance_id{"c"}, s,
-                         [&](const proto::datagram& e) { heard = std::get<crashes::crash_news>(e); }};
+                         [&](const proto::datagram& e) { heard = std::get<crashes::crash_message>(e); }};
     REQUIRE(it.bind("127.0.0.1", 0));
     it.put_peer({core::instance_id{"c"}, s, "127.0.0.1", far_link.bind("127.0.0.1", 0).value(), 0});
     it.set_max_peers_for_all_domains(0);
     const crashes::request_fingerprint request{1};
-    const crashes::endpoint_life endpoint{2};
+    const crashes::endpoint_id_hash endpoint{2};
     it.broadcast({{{endpoint, {{request, core::milliseconds{300}}}}},
                   {{request, endpoint, true, false}},
-                  {{request, crashes::conduct::harmful}}});
+                  {{request, crashes::request_effect::harmful}}});
     REQUIRE(tests::wait_for([&] { return heard.has_value(); }));
     REQUIRE(heard->reports.size() == 1);
     CHECK(heard->reports[0].endpoint == endpoint);
     REQUIRE(heard->reports[0].running.size() == 1);
     CHECK(heard->reports[0].running[0].request == request);
-    CHECK(heard->reports[0].running[0].ran == core::milliseconds{300});
+    CHECK(heard->reports[0].running[0].run_duration == core::milliseconds{300});
     REQUIRE(heard->trials.size() == 1);
     CHECK(heard->trials[0].is_over);
     CHECK_FALSE(heard->trials[0].has_reached);
     REQUIRE(heard->findings.size() == 1);
-    CHECK(heard->findings[0].what == crashes::conduct::harmful);
+    CHECK(heard->findings[0].what == crashes::request_effect::harmful);
 }
--- a/src/runlink/gateway/rollout_log.cpp
+++ b/src/runlink/gateway/rollout_log.cpp
@@ -21,7 +21,7 @@
         .number("revision", signed_number(it.revision));
 }
 
-void add_counts(observe::log_line& to, const std::optional<routing::rollout_standing>& known)
+void add_counts(observe::log_line& to, const std::optional<routing::rollout_status>& known)
 {
     if (!known)
         return;
@@ -54,7 +54,7 @@
 }
 
 observe::log_line rollout_record_line(const routing::rollout_record& it,
-                                      const std::optional<routing::rollout_standing>& known)
+                                      const std::optional<routing::rollout_status>& known)
 {
     observe::log_line out{"rollout_record"};
     add_record(out, it);
@@ -65,7 +65,7 @@
 }
 
 observe::log_line rollout_write_line(const routing::rollout_record& it,
-                                     const std::optional<routing::rollout_standing>& known)
+                                     const std::optional<routing::rollout_status>& known)
 {
     observe::log_line out{"rollout_write"};
     add_record(out, it);
@@ -83,7 +83,7 @@
 }
 
 observe::log_line version_found_bad_line(const core::service_id& service, const routing::version_fault& why,
-                                         const std::optional<routing::rollout_standing>& known)
+                                         const std::optional<routing::rollout_status>& known)
 {
     observe::log_line out{"version_found_bad"};
     out.text("service", service.str()).text("reason", routing::to_string(why));
