--- a/include/runlink/proto/codec.hpp
+++ b/include/runlink/proto/codec.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Serialisation with protobuf of peer messages and of what the ledger stores.
+/// Protobuf serialisation of peer messages and of the data that the ledger stores.
 #pragma once
 
 #include <string>
@@ -12,10 +12,11 @@
 {
 
 std::string encode(const core::peer_envelope& it);
-/// Fails with `malformed_request` on bytes that are not an envelope.
+/// Fails with `malformed_request` if the bytes are not a valid envelope.
 core::result<core::peer_envelope> decode(std::string_view bytes);
 
-/// The codec that the ledger uses.
+/// Protobuf codec for ledger segments, checkpoint headers and records. Decoding malformed bytes fails with
+/// `internal`.
 core::ledger_codec make_ledger_codec();
 
 } // namespace runlink::proto
--- a/include/runlink/proto/gossip_codec.hpp
+++ b/include/runlink/proto/gossip_codec.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Datagrams between forwarding instances as bytes.
+/// Protobuf serialisation of the datagrams exchanged between forwarding instances.
 #pragma once
 
 #include <string>
@@ -15,12 +15,13 @@
 namespace runlink::proto
 {
 
-/// What one datagram holds; empty for bytes that are no message.
+/// Message carried by one datagram; `std::monostate` if there is none.
 using datagram =
     std::variant<std::monostate, routing::gossip_message, control::sync_request, control::sync_reply,
                  routing::load_digest, crashes::crash_news, places::limit_reports, routing::leaving_notices>;
 
 std::string encode(const datagram& it);
+/// Returns `std::monostate` if the bytes are not a valid datagram or carry no message.
 datagram decode_datagram(std::string_view bytes);
 
 } // namespace runlink::proto
--- a/src/runlink/proto/gossip_codec.cpp
+++ b/src/runlink/proto/gossip_codec.cpp
@@ -10,47 +10,47 @@
 namespace
 {
 
-void write(const std::monostate&, wire::Datagram&) {}
+void to_wire(const std::monostate&, wire::Datagram&) {}
 
-void write(const routing::answer_counts& it, wire::AnswerCounts& to)
+void to_wire(const routing::answer_counts& it, wire::AnswerCounts& to)
 {
     to.set_all(it.all);
     for (const auto n : it.with)
         to.add_with(n);
 }
 
-void write(const routing::gossip_message& it, wire::Datagram& to)
+void to_wire(const routing::gossip_message& message, wire::Datagram& to)
 {
     auto& out = *to.mutable_gossip();
-    out.set_sender(it.sender.str());
-    for (const auto& e : it.runs)
+    out.set_sender(message.sender.str());
+    for (const auto& e : message.runs)
     {
         auto* run = out.add_runs();
         run->set_session_hash(e.session.value());
         run->set_version(e.version.str());
     }
-    for (const auto& e : it.evidence)
+    for (const auto& e : message.evidence)
     {
         auto* evidence = out.add_evidence();
         evidence->set_service(e.service.str());
         evidence->set_order_revision(e.order_revision);
         evidence->set_route(e.group.route);
         evidence->set_model(e.group.model.str());
-        write(e.fresh, *evidence->mutable_fresh());
-        write(e.old, *evidence->mutable_old());
+        to_wire(e.fresh, *evidence->mutable_fresh());
+        to_wire(e.old, *evidence->mutable_old());
         for (const auto n : e.flawed)
             evidence->add_flawed(static_cast<std::uint32_t>(n.value()));
         for (const auto n : e.sound)
             evidence->add_sound(static_cast<std::uint32_t>(n.value()));
     }
-    for (const auto& e : it.prompts)
+    for (const auto& e : message.prompts)
     {
         auto* prompt = out.add_prompts();
         prompt->set_endpoint(static_cast<std::uint32_t>(e.endpoint.value()));
         prompt->set_prompt(static_cast<std::uint32_t>(e.prompt.value()));
         prompt->set_work_ms(static_cast<std::uint32_t>(e.work.count()));
     }
-    for (const auto& e : it.answers)
+    for (const auto& e : message.answers)
     {
         auto* answer = out.add_answers();
         answer->set_endpoint(static_cast<std::uint32_t>(e.endpoint.value()));
@@ -58,7 +58,7 @@
     }
 }
 
-void write(const control::sync_request& it, wire::Datagram& to)
+void to_wire(const control::sync_request& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_request();
     out.set_sender(it.sender.id.str());
@@ -71,7 +71,7 @@
     out.set_joining(it.is_joining);
 }
 
-void write(const control::sync_reply& it, wire::Datagram& to)
+void to_wire(const control::sync_reply& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_reply();
     out.set_sender(it.sender.str());
@@ -96,7 +96,7 @@
         out.add_omitted(e);
 }
 
-void write(const routing::load_digest& it, wire::Datagram& to)
+void to_wire(const routing::load_digest& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_load();
     out.set_failure_domain(it.domain.str());
@@ -107,7 +107,7 @@
     }
 }
 
-void write(const crashes::crash_news& it, wire::Datagram& to)
+void to_wire(const crashes::crash_news& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_crashes();
     for (const auto& e : it.reports)
@@ -136,7 +136,7 @@
     }
 }
 
-void write(const places::limit_reports& it, wire::Datagram& to)
+void to_wire(const places::limit_reports& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_limits();
     out.set_sender(it.sender.str());
@@ -151,7 +151,7 @@
     }
 }
 
-void write(const routing::leaving_notices& it, wire::Datagram& to)
+void to_wire(const routing::leaving_notices& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_leaving();
     for (const auto& e : it.notices)
@@ -162,7 +162,7 @@
     }
 }
 
-datagram read(const wire::LeavingNotices& in)
+datagram from_wire(const wire::LeavingNotices& in)
 {
     routing::leaving_notices out;
     for (const auto& e : in.notices())
@@ -170,8 +170,8 @@
     return out;
 }
 
-/// A limit that is no number is dropped.
-datagram read(const wire::LimitReports& in)
+/// Skips reports whose rate limit is negative, infinite or NaN.
+datagram from_wire(const wire::LimitReports& in)
 {
     places::limit_reports out;
     out.sender = core::instance_id{in.sender()};
@@ -179,18 +179,18 @@
     {
         if (!std::isfinite(e.requests_per_s()) || e.requests_per_s() < 0)
             continue;
-        places::limit_report it;
-        it.endpoint = core::endpoint_id{e.endpoint()};
+        places::limit_report report;
+        report.endpoint = core::endpoint_id{e.endpoint()};
         if (e.limited())
-            it.requests_per_s = e.requests_per_s();
-        it.age = core::milliseconds{e.age_ms()};
-        it.sends = e.sends();
-        out.reports.push_back(std::move(it));
+            report.requests_per_s = e.requests_per_s();
+        report.age = core::milliseconds{e.age_ms()};
+        report.sends = e.sends();
+        out.reports.push_back(std::move(report));
     }
     return out;
 }
 
-datagram read(const wire::CrashNews& in)
+datagram from_wire(const wire::CrashNews& in)
 {
     crashes::crash_news out;
     for (const auto& e : in.reports())
@@ -198,9 +198,9 @@
         crashes::crash_report report;
         report.endpoint = crashes::endpoint_life{e.endpoint()};
         const auto n = std::min(e.requests_size(), e.ran_ms_size());
-        for (int it = 0; it < n; ++it)
+        for (int i = 0; i < n; ++i)
             report.running.push_back(
-                {crashes::request_fingerprint{e.requests(it)}, core::milliseconds{e.ran_ms(it)}});
+                {crashes::request_fingerprint{e.requests(i)}, core::milliseconds{e.ran_ms(i)}});
         out.reports.push_back(std::move(report));
     }
     for (const auto& e : in.trials())
@@ -212,17 +212,17 @@
     return out;
 }
 
-datagram read(const wire::LoadDigest& in)
+datagram from_wire(const wire::LoadDigest& in)
 {
     routing::load_digest out;
     out.domain = core::failure_domain_id{in.failure_domain()};
     const auto n = std::min(in.endpoints_size(), in.left_ms_size());
-    for (int it = 0; it < n; ++it)
-        out.loads.push_back({routing::endpoint_hash{in.endpoints(it)}, core::milliseconds{in.left_ms(it)}});
+    for (int i = 0; i < n; ++i)
+        out.loads.push_back({routing::endpoint_hash{in.endpoints(i)}, core::milliseconds{in.left_ms(i)}});
     return out;
 }
 
-routing::answer_counts read(const wire::AnswerCounts& in)
+routing::answer_counts from_wire(const wire::AnswerCounts& in)
 {
     routing::answer_counts out{in.all(), {}};
     const auto n = std::min(static_cast<std::size_t>(in.with_size()), out.with.size());
@@ -230,14 +230,14 @@
     return out;
 }
 
-routing::version_evidence read(const wire::VersionEvidence& in)
+routing::version_evidence from_wire(const wire::VersionEvidence& in)
 {
     routing::version_evidence out;
     out.service = core::service_id{in.service()};
     out.order_revision = in.order_revision();
     out.group = {in.route(), core::model_id{in.model()}};
-    out.fresh = read(in.fresh());
-    out.old = read(in.old());
+    out.fresh = from_wire(in.fresh());
+    out.old = from_wire(in.old());
     for (const auto n : in.flawed())
         out.flawed.emplace_back(n);
     for (const auto n : in.sound())
@@ -245,14 +245,14 @@
     return out;
 }
 
-datagram read(const wire::Gossip& in)
+datagram from_wire(const wire::Gossip& in)
 {
     routing::gossip_message out;
     out.sender = core::instance_id{in.sender()};
     for (const auto& e : in.runs())
         out.runs.push_back({routing::session_hash{e.session_hash()}, core::version_id{e.version()}});
     for (const auto& e : in.evidence())
-        out.evidence.push_back(read(e));
+        out.evidence.push_back(from_wire(e));
     for (const auto& e : in.prompts())
         out.prompts.push_back({routing::endpoint_hash{e.endpoint()}, routing::prompt_hash{e.prompt()},
                                core::milliseconds{e.work_ms()}});
@@ -261,7 +261,7 @@
     return out;
 }
 
-datagram read(const wire::SyncRequest& in)
+datagram from_wire(const wire::SyncRequest& in)
 {
     control::sync_request out;
     out.sender.id = core::instance_id{in.sender()};
@@ -275,7 +275,7 @@
     return out;
 }
 
-datagram read(const wire::SyncReply& in)
+datagram from_wire(const wire::SyncReply& in)
 {
     control::sync_reply out;
     out.sender = core::instance_id{in.sender()};
@@ -299,7 +299,7 @@
 std::string encode(const datagram& it)
 {
     wire::Datagram out;
-    std::visit([&](const auto& e) { write(e, out); }, it);
+    std::visit([&](const auto& e) { to_wire(e, out); }, it);
     return out.SerializeAsString();
 }
 
@@ -310,13 +310,13 @@
         return {};
     switch (in.message_case())
     {
-    case wire::Datagram::kGossip: return read(in.gossip());
-    case wire::Datagram::kRequest: return read(in.request());
-    case wire::Datagram::kReply: return read(in.reply());
-    case wire::Datagram::kLoad: return read(in.load());
-    case wire::Datagram::kCrashes: return read(in.crashes());
-    case wire::Datagram::kLimits: return read(in.limits());
-    case wire::Datagram::kLeaving: return read(in.leaving());
+    case wire::Datagram::kGossip: return from_wire(in.gossip());
+    case wire::Datagram::kRequest: return from_wire(in.request());
+    case wire::Datagram::kReply: return from_wire(in.reply());
+    case wire::Datagram::kLoad: return from_wire(in.load());
+    case wire::Datagram::kCrashes: return from_wire(in.crashes());
+    case wire::Datagram::kLimits: return from_wire(in.limits());
+    case wire::Datagram::kLeaving: return from_wire(in.leaving());
     case wire::Datagram::MESSAGE_NOT_SET: break;
     }
     return {};
--- a/src/runlink/proto/proto_test.cpp
+++ b/src/runlink/proto/proto_test.cpp
@@ -36,15 +36,15 @@
 
 std::vector<core::peer_message> every_message()
 {
-    core::heartbeat beat;
-    beat.ready = true;
-    beat.stopping = true;
-    beat.revision = core::config_revision{9};
-    beat.leaving = {{core::endpoint_id{"e"}, core::endpoint_incarnation{4}}};
-    beat.versions = {{{core::model_id{"m"}, core::version_id{"v"}}, 1, 2, 3, 4, true}};
-    beat.members = {
+    core::heartbeat heartbeat;
+    heartbeat.ready = true;
+    heartbeat.stopping = true;
+    heartbeat.revision = core::config_revision{9};
+    heartbeat.leaving = {{core::endpoint_id{"e"}, core::endpoint_incarnation{4}}};
+    heartbeat.versions = {{{core::model_id{"m"}, core::version_id{"v"}}, 1, 2, 3, 4, true}};
+    heartbeat.members = {
         {core::instance_id{"b"}, core::incarnation_id{"b1"}, core::failure_domain_id{"d"}, "1.2.3.4:5"}};
-    return {beat,
+    return {heartbeat,
             core::configuration_request{},
             core::configuration_document{"{}"},
             core::ledger_request{7, full_entry()},
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("every peer message is read as it was written")
+TEST_CASE("every peer message survives an encode and decode round trip")
 {
     for (const auto& it : every_message())
     {
@@ -64,14 +64,14 @@
             "d",
             {core::instance_id{"a"}, core::incarnation_id{"a1"}, core::failure_domain_id{"x"}, "1.2.3.4:5"},
             it};
-        const auto read = proto::decode(proto::encode(envelope)).value();
-        CHECK(read.deployment == "d");
-        CHECK(read.sender == envelope.sender);
-        CHECK(read.message == it);
+        const auto decoded = proto::decode(proto::encode(envelope)).value();
+        CHECK(decoded.deployment == "d");
+        CHECK(decoded.sender == envelope.sender);
+        CHECK(decoded.message == it);
     }
 }
 
-TEST_CASE("what the ledger stores is read as it was written")
+TEST_CASE("ledger segments, checkpoint headers and records survive an encode and decode round trip")
 {
     const auto codec = proto::make_ledger_codec();
     const core::ledger_segment segment{core::partition_id{1},
@@ -86,7 +86,7 @@
     CHECK(codec.decode_records(codec.encode_records(records)).value() == records);
 }
 
-TEST_CASE("bytes that were changed are a failure or another message, never a crash")
+TEST_CASE("decoding corrupted bytes gives a failure or another message, never a crash")
 {
     std::mt19937_64 random{1};
     for (const auto& it : every_message())
