--- a/include/runlink/proto/gossip_codec.hpp
+++ b/include/runlink/proto/gossip_codec.hpp
@@ -16,9 +16,9 @@
 {
 
 /// Message carried by one datagram; `std::monostate` if there is none.
-using datagram =
-    std::variant<std::monostate, routing::gossip_message, control::sync_request, control::sync_reply,
-                 routing::load_digest, crashes::crash_news, places::limit_reports, routing::leaving_notices>;
+using datagram = std::variant<std::monostate, routing::gossip_message, control::sync_request,
+                              control::sync_reply, routing::load_digest, crashes::crash_message,
+                              places::limit_reports, routing::leaving_notices>;
 
 std::string encode(const datagram& it);
 /// Returns `std::monostate` if the bytes are not a valid datagram or carry no message.
--- a/src/runlink/proto/gossip_codec.cpp
+++ b/src/runlink/proto/gossip_codec.cpp
@@ -107,7 +107,7 @@
     }
 }
 
-void to_wire(const crashes::crash_news& it, wire::Datagram& to)
+void to_wire(const crashes::crash_message& it, wire::Datagram& to)
 {
     auto& out = *to.mutable_crashes();
     for (const auto& e : it.reports)
@@ -117,7 +117,7 @@
         for (const auto& run : e.running)
         {
             report->add_requests(run.request.value());
-            report->add_ran_ms(static_cast<std::uint32_t>(run.ran.count()));
+            report->add_ran_ms(static_cast<std::uint32_t>(run.run_duration.count()));
         }
     }
     for (const auto& e : it.trials)
@@ -132,7 +132,7 @@
     {
         auto* finding = out.add_findings();
         finding->set_request(e.request.value());
-        finding->set_harmful(e.what == crashes::conduct::harmful);
+        finding->set_harmful(e.what == crashes::request_effect::harmful);
     }
 }
 
@@ -192,11 +192,11 @@
 
 datagram from_wire(const wire::CrashNews& in)
 {
-    crashes::crash_news out;
+    crashes::crash_message out;
     for (const auto& e : in.reports())
     {
         crashes::crash_report report;
-        report.endpoint = crashes::endpoint_life{e.endpoint()};
+        report.endpoint = crashes::endpoint_id_hash{e.endpoint()};
         const auto n = std::min(e.requests_size(), e.ran_ms_size());
         for (int i = 0; i < n; ++i)
             report.running.push_back(
@@ -204,11 +204,12 @@
         out.reports.push_back(std::move(report));
     }
     for (const auto& e : in.trials())
-        out.trials.push_back({crashes::request_fingerprint{e.request()}, crashes::endpoint_life{e.endpoint()},
-                              e.over(), e.reached()});
+        out.trials.push_back({crashes::request_fingerprint{e.request()},
+                              crashes::endpoint_id_hash{e.endpoint()}, e.over(), e.reached()});
     for (const auto& e : in.findings())
-        out.findings.push_back({crashes::request_fingerprint{e.request()},
-                                e.harmful() ? crashes::conduct::harmful : crashes::conduct::harmless});
+        out.findings.push_back(
+            {crashes::request_fingerprint{e.request()},
+             e.harmful() ? crashes::request_effect::harmful : crashes::request_effect::harmless});
     return out;
 }
 
