--- a/include/runlink/app/caller_request_reader.hpp
+++ b/include/runlink/app/caller_request_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads callers' requests from HTTP.
+/// Parses callers' HTTP requests.
 #pragma once
 
 #include <string>
@@ -12,34 +12,39 @@
 namespace runlink::app
 {
 
-/// A caller's request with the body that its endpoint gets.
-struct read_request
+/// A parsed caller's request with the body for its endpoint.
+struct parsed_caller_request
 {
     core::caller_request request;
-    /// The body to send: for a completion, with a place where the version goes in.
+    /// For a completion, the JSON into which `body_for_endpoint` writes the chosen version; otherwise the
+    /// body as received.
     std::string body;
     std::string content_type;
 };
 
-/// The bearer key of a request; empty where there is none.
+/// Returns the key of an `Authorization: Bearer` header; empty when there is none.
 std::string bearer_key(const net::http_request& it);
 
-/// SHA-256 in lower-case hexadecimal.
+/// Returns the SHA-256 digest in lower-case hexadecimal.
 std::string sha256_hex(std::string_view data);
 
-/// HMAC-SHA-256 in lower-case hexadecimal.
+/// Returns the HMAC-SHA-256 code in lower-case hexadecimal.
 std::string hmac_sha256_hex(std::string_view secret, std::string_view text);
 
-/// Reads a request for completions. Fails with `malformed_request`, the path of the fault in the detail.
-core::result<read_request> read_completion(const net::http_request& it, const core::account_settings& account,
-                                           const core::request_id& id);
-
-/// Reads a call on a plain service.
-core::result<read_request> read_service_call(const net::http_request& it,
-                                             const core::account_settings& account,
-                                             const core::request_id& id);
-
-/// The body for an engine: the caller's, with the version that was chosen, and usage asked for in a stream.
-std::string body_for_engine(const std::string& body, const core::version_ref& version);
+/// Parses a request for completions. Fails with `malformed_request`; the detail names the JSON path or the
+/// header at fault.
+core::result<parsed_caller_request> read_completion(const net::http_request& it,
+                                                    const core::account_settings& account,
+                                                    const core::request_id& id);
+
+/// Parses a call of a service without a model. Fails with `malformed_request`; the detail names the header at
+/// fault.
+core::result<parsed_caller_request> read_service_call(const net::http_request& it,
+                                                      const core::account_settings& account,
+                                                      const core::request_id& id);
+
+/// Returns the caller's body with the chosen version as its model and, for a stream, with the option that
+/// makes the endpoint report its token usage.
+std::string body_for_endpoint(const std::string& body, const core::version_ref& version);
 
 } // namespace runlink::app
--- a/include/runlink/app/daemon.hpp
+++ b/include/runlink/app/daemon.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// An entry instance as a process.
+/// The process of one instance.
 #pragma once
 
 #include <functional>
@@ -17,21 +17,21 @@
 namespace runlink::app
 {
 
-/// Wires an instance to the network and drives it from the event loop.
+/// Connects an instance to the network, the store and the platform, and drives it from the Qt event loop.
 class daemon
 {
 public:
     daemon(settings options, std::vector<std::string> secrets);
 
-    /// Opens the addresses. Fails with `settings_invalid`.
+    /// Listens on the addresses of the settings. Fails with `settings_invalid`.
     core::result<void> start();
-    /// Starts a planned stop; `on_stopped` is called when it is complete.
+    /// Starts a planned stop; `on_stopped` is called when the stop is complete.
     void begin_stop();
     std::function<void()> on_stopped;
 
 private:
     core::instance_options make_options(std::vector<std::string> secrets) const;
-    core::instance_edge make_edge();
+    core::instance_edge make_instance_hooks();
     attempt_hooks make_attempt_hooks();
     void handle(const std::shared_ptr<net::http_exchange>& exchange);
     void tick();
@@ -44,12 +44,12 @@
     net::http_client client_;
     net::http_client store_client_;
     core::store_port store_;
-    net::peer_link peers_;
-    caller_api callers_;
+    net::peer_link peer_link_;
+    caller_api caller_api_;
     std::unique_ptr<core::instance> instance_;
     attempt_runner runner_;
     std::optional<platform_client> platform_;
-    std::unique_ptr<operator_api> operators_;
+    std::unique_ptr<operator_api> operator_api_;
     net::http_server server_;
     QTimer tick_timer_;
     QTimer platform_timer_;
--- a/include/runlink/app/logging.hpp
+++ b/include/runlink/app/logging.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Logs: one line for each change of state, on the standard error stream.
+/// Logging to the standard error stream, one line for each change of state.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 namespace runlink::app
 {
 
-/// Sets the log up. The level is `debug`, `info`, `warning` or `error`.
+/// Configures logging. The minimum level is `debug`, `info`, `warning` or `error`; any other text means
+/// `info`.
 void start_logging(const std::string& level);
 
 void log_info(const std::string& line);
--- a/include/runlink/app/operator_api.hpp
+++ b/include/runlink/app/operator_api.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP interface of operators and of the balancer.
+/// The HTTP interface of operators and of the load balancer.
 #pragma once
 
 #include <functional>
@@ -17,13 +17,12 @@
 namespace runlink::app
 {
 
-/// `/healthz`, `/readyz` and `/metrics` without a key; `/v1/status`, `/v1/intents`, `/v1/plans`,
-/// `/v1/configuration` and
-/// `/v1/explain` with an operator's key.
+/// Serves `/healthz`, `/readyz` and `/metrics` without a key, and `/v1/status`, `/v1/intents`, `/v1/plans`,
+/// `/v1/configuration` and `/v1/explain` with an operator's key.
 class operator_api
 {
 public:
-    operator_api(const settings& options, core::instance& instance, const observe::metrics& measured,
+    operator_api(const settings& options, core::instance& instance, const observe::metrics& metrics,
                  const net::peer_link& peers, core::store_port store, core::clock_source clock);
 
     void handle(const std::shared_ptr<net::http_exchange>& exchange);
@@ -31,14 +30,14 @@
 private:
     bool is_operator(const net::http_request& it) const;
     void route(const std::shared_ptr<net::http_exchange>& exchange);
-    void ready(net::http_exchange& exchange) const;
+    void show_readiness(net::http_exchange& exchange) const;
     void show_metrics(net::http_exchange& exchange) const;
-    void status(net::http_exchange& exchange) const;
+    void show_status(net::http_exchange& exchange) const;
     void make_plan(net::http_exchange& exchange) const;
-    void confirm(const std::shared_ptr<net::http_exchange>& exchange);
-    void configuration(net::http_exchange& exchange) const;
-    void history(const std::shared_ptr<net::http_exchange>& exchange) const;
-    void explain(net::http_exchange& exchange);
+    void confirm_plan(const std::shared_ptr<net::http_exchange>& exchange);
+    void show_configuration(net::http_exchange& exchange) const;
+    void show_revision(const std::shared_ptr<net::http_exchange>& exchange) const;
+    void explain_routing(net::http_exchange& exchange);
     std::vector<observe::plain_metric> plain_metrics() const;
 
     const settings& settings_;
--- a/include/runlink/app/operator_client.hpp
+++ b/include/runlink/app/operator_client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Client of the operators' interface, for the command line.
+/// Client of the operators' HTTP interface, for the command line.
 #pragma once
 
 #include <string>
@@ -12,14 +12,16 @@
 namespace runlink::app
 {
 
-/// Calls an instance and waits for its answer.
+/// Calls an instance and blocks until it answers.
 class operator_client
 {
 public:
     operator_client(host_port address, std::string key);
 
-    /// Fails with `store_unavailable` where the instance cannot be reached, or with what it answered.
+    /// Fails with `endpoint_lost` when the instance cannot be reached, with `endpoint_answer_invalid` when
+    /// its answer is not JSON, or with the error that it answers.
     core::result<nlohmann::json> get(const std::string& path);
+    /// Fails like `get`.
     core::result<nlohmann::json> post(const std::string& path, const std::string& body);
 
 private:
@@ -31,7 +33,7 @@
     net::http_client client_;
 };
 
-/// The code with this public name, or `internal`.
+/// Returns the error code with this public name, or `internal` for an unknown name.
 core::errc code_of(std::string_view name);
 
 } // namespace runlink::app
--- a/include/runlink/app/platform_client.hpp
+++ b/include/runlink/app/platform_client.hpp
@@ -2,8 +2,8 @@
 /// Client of the platform's instance list and rating service.
 ///
 /// `GET /v1/instances` answers `{"instances": [{"name", "state", "incarnation"}]}`, where the state
-/// is `live` or `leaving`; the list lags. `POST /v1/ratings` with `{"request", "version", "answer"}` answers
-/// `{"good": bool}` when the answer has been rated.
+/// is `live` or `leaving`; the list can be out of date. `POST /v1/ratings` with
+/// `{"request", "version", "answer"}` answers `{"good": bool}` as soon as the answer is rated.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 namespace runlink::app
 {
 
-/// One endpoint as the list shows it.
+/// One entry of the platform's instance list.
 struct listed_endpoint
 {
     core::endpoint_id id;
@@ -24,25 +24,25 @@
     bool leaving = false;
 };
 
-/// Asks the platform; an answer that is malformed counts as none.
+/// Queries the platform and ignores malformed answers.
 class platform_client
 {
 public:
     platform_client(net::http_client& client, host_port address);
 
-    /// Reads the list unless a read is under way.
+    /// Reads the list and calls `visit` for each valid entry; does nothing while another read is in flight.
     void poll(std::function<void(const listed_endpoint&)> visit);
-    /// Has an answer rated. Answers beyond the bound of ratings under way are not rated.
+    /// Sends an answer to the rating service. Drops the answer when 64 ratings are in flight.
     void rate(const core::request_id& request, const core::version_ref& version, const std::string& answer,
               std::function<void(bool good)> rated);
 
 private:
-    net::http_call call(const std::string& method, const std::string& path) const;
+    net::http_call make_call(const std::string& method, const std::string& path) const;
 
     net::http_client& client_;
     host_port address_;
-    bool polling_ = false;
-    std::size_t rating_ = 0;
+    bool poll_in_flight_ = false;
+    std::size_t ratings_in_flight_ = 0;
 };
 
 } // namespace runlink::app
--- a/include/runlink/app/tables.hpp
+++ b/include/runlink/app/tables.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tables for people, made from the answers of the operators' interface.
+/// Formats answers of the operators' interface as text tables.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 namespace runlink::app
 {
 
-/// Rows of cells, the first one the heading, as aligned columns.
+/// Formats rows of cells as aligned columns. The first row is the heading.
 std::string format_table(const std::vector<std::vector<std::string>>& rows);
 
 std::string status_table(const nlohmann::json& status);
--- a/scripts/compression.py
+++ b/scripts/compression.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""How far zlib at its least effort shrinks documents like those that instances send each other."""
+"""Prints how far zlib at level 1 compresses documents like those that instances send to each other."""
 import json
 import random
 import string
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Sets up the machine, builds, starts stand-ins and three instances, and shows a routed and streamed answer, a session
-# that keeps its version, and a roll-out planned and confirmed. Everything it starts is ended again.
+# Installs the packages, builds, and starts stand-ins and three instances. Then shows a routed and streamed answer, a
+# session that keeps its version, and a roll-out that is planned and confirmed. Stops every process that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
@@ -39,7 +39,8 @@
 for n in 1 2 3; do await curl -sf "http://127.0.0.1:$((base + 10 + n))/readyz"; done
 runlink status
 
-ask() { # instance, headers and body
+# Sends a completion request: ask INSTANCE CURL_ARGUMENT...
+ask() {
     local n=$1
     shift
     curl -sS -N -D "$work/headers" -H 'Authorization: Bearer office-key' -H 'Content-Type: application/json' "$@" \
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formatter and linter; both must be clean.
+# Runs the formatter check and the linter; both must be clean.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files '*.cpp' '*.hpp' | grep -v '\.pb\.')
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what runlink builds with on a fresh Debian 12 machine.
+# Installs the packages that runlink needs to build on a fresh Debian 12 machine.
 set -euo pipefail
 
 packages=(
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up the machine, builds, and runs the formatter check, the linter and every test.
+# Installs the packages, builds, and runs the formatter check, the linter and every test.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
--- a/src/runlink/app/app_test.cpp
+++ b/src/runlink/app/app_test.cpp
@@ -27,7 +27,7 @@
     "listen": {"callers": "127.0.0.1:1", "peers": "127.0.0.1:2"},
     "store": {"host": "127.0.0.1", "port": 3}, "secrets_environment": "S"})";
 
-std::string with(std::string text, const std::string& from, const std::string& to)
+std::string replaced(std::string text, const std::string& from, const std::string& to)
 {
     text.replace(text.find(from), from.size(), to);
     return text;
@@ -39,7 +39,8 @@
     return it ? "" : it.error().detail;
 }
 
-net::http_request http(const std::string& body, QList<QPair<QByteArray, QByteArray>> headers = {})
+net::http_request completion_request(const std::string& body,
+                                     QList<QPair<QByteArray, QByteArray>> headers = {})
 {
     net::http_request it;
     it.method = "POST";
@@ -49,7 +50,7 @@
     return it;
 }
 
-std::string refused(const net::http_request& it)
+std::string detail_of_refusal(const net::http_request& it)
 {
     const auto read = read_completion(it, {}, core::request_id{"r"});
     return read ? "" : read.error().detail;
@@ -60,45 +61,46 @@
 
 } // namespace
 
-TEST_CASE("settings are read strictly")
+TEST_CASE("settings with unknown, missing or invalid fields are rejected")
 {
     CHECK(fault_of(good_settings).empty());
-    CHECK(fault_of(with(good_settings, "\"port\": 3", "\"port\": 70000")) ==
+    CHECK(fault_of(replaced(good_settings, "\"port\": 3", "\"port\": 70000")) ==
           "$.store.port: must be a whole number from 1 to 65535");
-    CHECK(
-        fault_of(with(good_settings, "127.0.0.1:2", "peer.local:2")).starts_with("$.listen.peers: must be"));
-    CHECK(fault_of(with(good_settings, "\"id\"", "\"idd\"")) ==
+    CHECK(fault_of(replaced(good_settings, "127.0.0.1:2", "peer.local:2"))
+              .starts_with("$.listen.peers: must be"));
+    CHECK(fault_of(replaced(good_settings, "\"id\"", "\"idd\"")) ==
           "$.instance.id: is missing\n$.instance.idd: unknown field");
-    CHECK(fault_of(with(good_settings, "\"store\"", "\"shop\"")) ==
+    CHECK(fault_of(replaced(good_settings, "\"store\"", "\"shop\"")) ==
           "$.store: is missing\n$.shop: unknown field");
     CHECK(fault_of("{") == "$: malformed JSON at byte 2");
     CHECK(load_settings("/nowhere/x.json").error().code == core::errc::settings_invalid);
 }
 
-TEST_CASE("events are cut whole out of any pieces")
+TEST_CASE("server-sent events are complete however the stream is split")
 {
     const std::string stream = "data: {\"a\":1}\r\n\r\ndata: [DONE]\n\n";
-    for (std::size_t piece = 1; piece <= stream.size(); ++piece)
+    for (std::size_t piece_bytes = 1; piece_bytes <= stream.size(); ++piece_bytes)
     {
         sse_splitter it{100};
         std::vector<std::string> events;
-        for (std::size_t n = 0; n < stream.size(); n += piece)
-            CHECK(it.add(stream.substr(n, piece), [&](std::string e) { events.push_back(std::move(e)); }));
+        for (std::size_t n = 0; n < stream.size(); n += piece_bytes)
+            CHECK(it.add(stream.substr(n, piece_bytes),
+                         [&](std::string e) { events.push_back(std::move(e)); }));
         REQUIRE(events.size() == 2);
         CHECK(data_of(events[0]) == "{\"a\":1}");
         CHECK(is_done_event(events[1]));
-        CHECK(it.rest().empty());
+        CHECK(it.incomplete().empty());
     }
     sse_splitter it{100};
     CHECK_FALSE(it.add(std::string(200, 'x'), [](std::string) {}));
 }
 
-TEST_CASE("a completion is read with its headers, and unknown members reach the engine")
+TEST_CASE("a completion is parsed with its headers, and unknown members reach the endpoint")
 {
-    const auto it = read_completion(http(good_body, {{"idempotency-key", "k1"},
-                                                     {"Runlink-Repeatable", "false"},
-                                                     {"Runlink-Deadline-Ms", "250"},
-                                                     {"Runlink-Priority", "quick"}}),
+    const auto it = read_completion(completion_request(good_body, {{"idempotency-key", "k1"},
+                                                                   {"Runlink-Repeatable", "false"},
+                                                                   {"Runlink-Deadline-Ms", "250"},
+                                                                   {"Runlink-Priority", "quick"}}),
                                     {}, core::request_id{"r"})
                         .value();
     CHECK(it.request.key->str() == "k1");
@@ -108,41 +110,51 @@
     CHECK(it.request.stream);
     CHECK(it.request.version->str() == "v");
     const auto body =
-        nlohmann::json::parse(body_for_engine(it.body, {core::model_id{"m"}, core::version_id{"v2"}}));
+        nlohmann::json::parse(body_for_endpoint(it.body, {core::model_id{"m"}, core::version_id{"v2"}}));
     CHECK(body["model"] == "m/v2");
     CHECK(body["top_p"] == 1);
     CHECK(body["stream_options"]["include_usage"] == true);
 }
 
-TEST_CASE("bad requests are refused with the place of the fault")
+TEST_CASE("malformed requests are refused with the JSON path or the header at fault")
 {
-    CHECK(refused(http("{")) == "$: malformed JSON at byte 2");
-    CHECK(refused(http("[]")) == "$: must be an object");
-    CHECK(refused(http(R"({"model":1})")).starts_with("$.model"));
-    CHECK(refused(http(R"({"model":"m","messages":[]})")).starts_with("$.messages"));
-    CHECK(refused(http(R"({"model":"m","messages":[7]})")).starts_with("$.messages[0]"));
-    CHECK(refused(http(R"({"model":"m","model":"n","messages":[{"role":"u"}]})")).find("stands twice") !=
-          std::string::npos);
-    CHECK(refused(http(R"({"model":"m","stream":"yes","messages":[{"role":"u"}]})")).starts_with("$.stream"));
-    CHECK(refused(http(good_body, {{"Idempotency-Key", ""}})).starts_with("Idempotency-Key"));
-    CHECK(
-        refused(http(good_body, {{"Idempotency-Key", QByteArray(200, 'x')}})).starts_with("Idempotency-Key"));
-    CHECK(refused(http(good_body, {{"Runlink-Deadline-Ms", "-1"}})).starts_with("Runlink-Deadline-Ms"));
-    CHECK(refused(http(good_body, {{"Runlink-Deadline-Ms", "9999999999999999999999"}}))
+    CHECK(detail_of_refusal(completion_request("{")) == "$: malformed JSON at byte 2");
+    CHECK(detail_of_refusal(completion_request("[]")) == "$: must be an object");
+    CHECK(detail_of_refusal(completion_request(R"({"model":1})")).starts_with("$.model"));
+    CHECK(detail_of_refusal(completion_request(R"({"model":"m","messages":[]})")).starts_with("$.messages"));
+    CHECK(detail_of_refusal(completion_request(R"({"model":"m","messages":[7]})"))
+              .starts_with("$.messages[0]"));
+    CHECK(detail_of_refusal(completion_request(R"({"model":"m","model":"n","messages":[{"role":"u"}]})"))
+              .find("stands twice") != std::string::npos);
+    CHECK(detail_of_refusal(completion_request(R"({"model":"m","stream":"yes","messages":[{"role":"u"}]})"))
+              .starts_with("$.stream"));
+    CHECK(detail_of_refusal(completion_request(good_body, {{"Idempotency-Key", ""}}))
+              .starts_with("Idempotency-Key"));
+    CHECK(detail_of_refusal(completion_request(good_body, {{"Idempotency-Key", QByteArray(200, 'x')}}))
+              .starts_with("Idempotency-Key"));
+    CHECK(detail_of_refusal(completion_request(good_body, {{"Runlink-Deadline-Ms", "-1"}}))
               .starts_with("Runlink-Deadline-Ms"));
-    CHECK(refused(http(good_body, {{"Runlink-Repeatable", "maybe"}})).starts_with("Runlink-Repeatable"));
-    CHECK(refused(http(good_body, {{"Runlink-Priority", "9"}})).starts_with("Runlink-Priority"));
+    CHECK(
+        detail_of_refusal(completion_request(good_body, {{"Runlink-Deadline-Ms", "9999999999999999999999"}}))
+            .starts_with("Runlink-Deadline-Ms"));
+    CHECK(detail_of_refusal(completion_request(good_body, {{"Runlink-Repeatable", "maybe"}}))
+              .starts_with("Runlink-Repeatable"));
+    CHECK(detail_of_refusal(completion_request(good_body, {{"Runlink-Priority", "9"}}))
+              .starts_with("Runlink-Priority"));
 }
 
-TEST_CASE("the same body has the same fingerprint, another body another one")
+TEST_CASE("equal bodies have equal fingerprints, different bodies different ones")
 {
-    const auto print = [](const std::string& body)
-    { return read_completion(http(body), {}, core::request_id{"r"}).value().request.fingerprint; };
-    CHECK(print(good_body) == print(good_body));
-    CHECK(print(good_body) != print(with(good_body, "\"x\"", "\"y\"")));
+    const auto fingerprint_of = [](const std::string& body) {
+        return read_completion(completion_request(body), {}, core::request_id{"r"})
+            .value()
+            .request.fingerprint;
+    };
+    CHECK(fingerprint_of(good_body) == fingerprint_of(good_body));
+    CHECK(fingerprint_of(good_body) != fingerprint_of(replaced(good_body, "\"x\"", "\"y\"")));
 }
 
-TEST_CASE("every code has a public name of its own and an error status")
+TEST_CASE("every error code has a unique public name and an HTTP error status")
 {
     std::set<std::string> names;
     for (int n = 0; n <= static_cast<int>(core::errc::internal); ++n)
@@ -154,13 +166,13 @@
     }
 }
 
-TEST_CASE("keys and codes are hashed as the documents say")
+TEST_CASE("SHA-256, HMAC-SHA-256 and bearer keys match known values")
 {
     CHECK(sha256_hex("abc") == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
     CHECK(hmac_sha256_hex("key", "The quick brown fox jumps over the lazy dog") ==
           "f7bc83f430538424b13298e6aa6fb143ef4d59a14946175997479dbc2d1a3cd8");
-    CHECK(bearer_key(http("", {{"Authorization", "Bearer x y"}})) == "x y");
-    CHECK(bearer_key(http("", {{"Authorization", "Basic x"}})).empty());
+    CHECK(bearer_key(completion_request("", {{"Authorization", "Bearer x y"}})) == "x y");
+    CHECK(bearer_key(completion_request("", {{"Authorization", "Basic x"}})).empty());
 }
 
 TEST_CASE("histograms are kept per client account and class")
@@ -183,12 +195,12 @@
           std::string::npos);
 }
 
-TEST_CASE("tables are aligned")
+TEST_CASE("table columns are aligned")
 {
     CHECK(format_table({{"A", "B"}, {"long", "x"}}) == "A     B\nlong  x\n");
 }
 
-TEST_CASE("the examples have no faults")
+TEST_CASE("the example configurations and settings are valid")
 {
     int settings_files = 0;
     for (const char* user : {"bonifici-padani", "thepcuon-trace"})
@@ -209,8 +221,8 @@
     CHECK(settings_files == 14);
 }
 
-TEST_CASE(
-    "an endpoint that says in the head of a stream that it leaves is known to leave before the stream ends")
+TEST_CASE("an endpoint that announces in the head of a stream that it is leaving is reported before the "
+          "stream ends")
 {
     QTcpServer endpoint;
     REQUIRE(endpoint.listen(QHostAddress::LocalHost, 0));
@@ -225,13 +237,13 @@
         });
     net::http_client client;
     bool is_leaving = false;
-    bool is_over = false;
+    bool has_ended = false;
     attempt_hooks hooks;
     hooks.head = [](core::attempt_id, int, const std::string&) {};
     hooks.bytes = [](core::attempt_id, const std::string&) {};
-    hooks.answered = [&](core::attempt_id, const core::endpoint_answer&) { is_over = true; };
-    hooks.refused = [&](core::attempt_id) { is_over = true; };
-    hooks.lost = [&](core::attempt_id, const core::attempt_loss&) { is_over = true; };
+    hooks.answered = [&](core::attempt_id, const core::endpoint_answer&) { has_ended = true; };
+    hooks.refused = [&](core::attempt_id) { has_ended = true; };
+    hooks.lost = [&](core::attempt_id, const core::attempt_loss&) { has_ended = true; };
     hooks.endpoint_state = [&](const core::endpoint_id&, core::endpoint_incarnation incarnation, bool leaving)
     { is_leaving = leaving && incarnation == core::endpoint_incarnation{7}; };
     attempt_runner runner{client, hooks};
@@ -243,6 +255,6 @@
     start.time_left = core::milliseconds{1000};
     runner.start(start, {503}, {"/v1/x", "application/json", "{}", true});
     CHECK(tests::wait_for([&] { return is_leaving; }));
-    CHECK_FALSE(is_over);
+    CHECK_FALSE(has_ended);
     runner.cancel(start.attempt);
 }
--- a/src/runlink/app/attempt_runner.cpp
+++ b/src/runlink/app/attempt_runner.cpp
@@ -21,7 +21,7 @@
 constexpr const char* leaving_header = "X-Endpoint-Leaving";
 constexpr const char* incarnation_header = "X-Endpoint-Incarnation";
 
-core::token_count count_of(const json& usage, const char* name)
+core::token_count token_count_of(const json& usage, const char* name)
 {
     const auto found = usage.find(name);
     const bool valid = found != usage.end() && found->is_number_unsigned();
@@ -35,12 +35,12 @@
     const auto doc = json::parse(body, nullptr, false);
     if (!doc.is_object() || !doc.contains("usage") || !doc["usage"].is_object())
         return {};
-    return {count_of(doc["usage"], "prompt_tokens"), count_of(doc["usage"], "completion_tokens")};
+    return {token_count_of(doc["usage"], "prompt_tokens"), token_count_of(doc["usage"], "completion_tokens")};
 }
 
 } // namespace
 
-struct attempt_runner::running
+struct attempt_runner::running_attempt
 {
     core::attempt_id id{};
     core::endpoint_id endpoint;
@@ -55,7 +55,7 @@
     core::token_usage usage;
     bool invalid = false;
 
-    bool streams() const { return stream && status < first_error_status; }
+    bool is_streamed() const { return stream && status < first_error_status; }
 };
 
 attempt_runner::attempt_runner(net::http_client& client, attempt_hooks hooks)
@@ -66,11 +66,11 @@
 void attempt_runner::start(const core::attempt_start& it, const std::vector<int>& not_started_statuses,
                            attempt_body body)
 {
-    auto run = std::make_shared<running>();
-    run->id = it.attempt;
-    run->endpoint = it.endpoint.id;
-    run->not_started_statuses = not_started_statuses;
-    run->stream = body.stream;
+    auto attempt = std::make_shared<running_attempt>();
+    attempt->id = it.attempt;
+    attempt->endpoint = it.endpoint.id;
+    attempt->not_started_statuses = not_started_statuses;
+    attempt->stream = body.stream;
     net::http_call call;
     call.method = "POST";
     call.host = it.endpoint.host;
@@ -82,11 +82,11 @@
     call.body = std::move(body.body);
     call.idle_timeout_ms = endpoint_idle_timeout_ms;
     net::http_call_hooks hooks;
-    hooks.head = [this, run](const net::http_answer_head& head) { on_head(*run, head); };
-    hooks.bytes = [this, run](const std::string& bytes) { on_bytes(*run, bytes); };
+    hooks.head = [this, attempt](const net::http_answer_head& head) { on_head(*attempt, head); };
+    hooks.bytes = [this, attempt](const std::string& bytes) { on_bytes(*attempt, bytes); };
     hooks.done = [this, id = it.attempt](const net::http_result& result) { on_done(id, result); };
-    running_.emplace(it.attempt, run);
-    run->call = client_.start(call, std::move(hooks));
+    running_.emplace(it.attempt, attempt);
+    attempt->call = client_.start(call, std::move(hooks));
 }
 
 void attempt_runner::cancel(core::attempt_id id)
@@ -99,10 +99,10 @@
     client_.cancel(call);
 }
 
-void attempt_runner::on_head(running& it, const net::http_answer_head& head)
+void attempt_runner::on_head(running_attempt& it, const net::http_answer_head& head)
 {
-    // A stream ends seconds later, or is given up before.
-    tell_endpoint_state(it, head);
+    // Reported with the head because a stream may end seconds later or be cancelled before its end.
+    report_endpoint_state(it, head);
     it.status = head.status;
     it.content_type = head.content_type;
     const auto& refusals = it.not_started_statuses;
@@ -110,9 +110,9 @@
         hooks_.head(it.id, head.status, head.content_type);
 }
 
-void attempt_runner::on_bytes(running& it, const std::string& bytes)
+void attempt_runner::on_bytes(running_attempt& it, const std::string& bytes)
 {
-    if (it.streams())
+    if (it.is_streamed())
     {
         it.invalid =
             it.invalid || !it.splitter.add(bytes, [&](std::string event) { on_event(it, std::move(event)); });
@@ -123,7 +123,7 @@
         it.body += bytes;
 }
 
-void attempt_runner::on_event(running& it, std::string event)
+void attempt_runner::on_event(running_attempt& it, std::string event)
 {
     if (is_done_event(event))
     {
@@ -136,7 +136,7 @@
     hooks_.bytes(it.id, std::move(event));
 }
 
-void attempt_runner::tell_endpoint_state(const running& it, const net::http_answer_head& head)
+void attempt_runner::report_endpoint_state(const running_attempt& it, const net::http_answer_head& head)
 {
     const auto text = head.header(incarnation_header);
     std::uint64_t incarnation = 0;
@@ -158,14 +158,14 @@
         return hooks_.refused(id);
     if (!result.complete)
         return hooks_.lost(id, {{errc::endpoint_lost, it->endpoint.str()}, result.body_sent});
-    const bool whole = !it->streams() || !it->done_event.empty();
-    if (it->invalid || !whole)
+    const bool complete = !it->is_streamed() || !it->done_event.empty();
+    if (it->invalid || !complete)
         return hooks_.lost(id, {{errc::endpoint_answer_invalid, it->endpoint.str()}, true});
     core::endpoint_answer answer;
     answer.status = result.status;
     answer.content_type = result.content_type;
-    answer.usage = it->streams() ? it->usage : usage_of(it->body);
-    answer.tail = it->streams() ? std::move(it->done_event) : std::move(it->body);
+    answer.usage = it->is_streamed() ? it->usage : usage_of(it->body);
+    answer.tail = it->is_streamed() ? std::move(it->done_event) : std::move(it->body);
     hooks_.answered(id, std::move(answer));
 }
 
--- a/src/runlink/app/caller_api.cpp
+++ b/src/runlink/app/caller_api.cpp
@@ -19,28 +19,28 @@
 
 } // namespace
 
-caller_api::caller_api(observe::metrics& measured, core::clock_source clock, std::string incarnation)
-    : metrics_{measured}, clock_{std::move(clock)}, incarnation_{std::move(incarnation)}
+caller_api::caller_api(observe::metrics& metrics, core::clock_source clock, std::string incarnation)
+    : metrics_{metrics}, clock_{std::move(clock)}, incarnation_{std::move(incarnation)}
 {
 }
 
 core::router_hooks caller_api::router_hooks(std::function<core::wall_time()> wall_clock)
 {
-    core::router_hooks it;
-    it.dispatch = [this](const core::attempt_start& e) { dispatch(e); };
-    it.cancel = [this](core::attempt_id e) { runner_->cancel(e); };
-    it.begin = [this](const core::request_id& id, const core::answer_head& head) { begin(id, head); };
-    it.forward = [this](const core::request_id& id, const std::string& bytes) { forward(id, bytes); };
-    it.end = [this](const core::request_id& id, const std::string& tail) { end(id, tail); };
-    it.refuse = [this](const core::request_id& id, const core::refusal& e) { refuse(id, e); };
-    it.answered =
+    core::router_hooks hooks;
+    hooks.dispatch = [this](const core::attempt_start& e) { dispatch(e); };
+    hooks.cancel = [this](core::attempt_id e) { runner_->cancel(e); };
+    hooks.begin = [this](const core::request_id& id, const core::answer_head& head) { begin(id, head); };
+    hooks.forward = [this](const core::request_id& id, const std::string& bytes) { forward(id, bytes); };
+    hooks.end = [this](const core::request_id& id, const std::string& tail) { end(id, tail); };
+    hooks.refuse = [this](const core::request_id& id, const core::refusal& e) { refuse(id, e); };
+    hooks.answered =
         [this](const core::request_id& id, const core::version_ref& version, const std::string& answer)
     {
         if (on_answer)
             on_answer(id, version, answer);
     };
-    it.wall_clock = std::move(wall_clock);
-    return it;
+    hooks.wall_clock = std::move(wall_clock);
+    return hooks;
 }
 
 void caller_api::attach(core::instance& instance, attempt_runner& runner)
@@ -54,9 +54,9 @@
     return path == completions_path || path == models_path || path.starts_with(services_prefix);
 }
 
-core::request_id caller_api::next_id()
+core::request_id caller_api::next_request_id()
 {
-    return core::request_id{incarnation_ + "-" + std::to_string(++next_)};
+    return core::request_id{incarnation_ + "-" + std::to_string(++last_request_number_)};
 }
 
 void caller_api::handle(const std::shared_ptr<net::http_exchange>& exchange)
@@ -66,16 +66,16 @@
     if (!configuration)
         return send_error(*exchange,
                           {{errc::not_ready, "configuration", core::seconds{1}}, run_outcome::not_run},
-                          next_id());
+                          next_request_id());
     const auto* account = configuration->find_account_by_key_hash(sha256_hex(bearer_key(request)));
     if (account == nullptr)
         return send_error(*exchange, {{errc::unauthenticated, "Authorization"}, run_outcome::not_run},
-                          next_id());
+                          next_request_id());
     if (request.path == models_path)
         return list_models(*exchange, *account);
     if (request.method != "POST")
         return send_error(*exchange, {{errc::malformed_request, "method: POST"}, run_outcome::not_run},
-                          next_id());
+                          next_request_id());
     admit(exchange, *account);
 }
 
@@ -83,25 +83,25 @@
                        const core::account_settings& account)
 {
     const auto& http = exchange->request();
-    const auto id = next_id();
-    const bool completion = http.path == completions_path;
-    auto read = completion ? read_completion(http, account, id) : read_service_call(http, account, id);
-    if (!read)
-        return send_error(*exchange, {read.error(), run_outcome::not_run}, id);
-    open_request it;
-    it.exchange = exchange;
-    it.request = std::move(read.value().request);
-    it.body = std::move(read.value().body);
-    it.content_type = std::move(read.value().content_type);
-    it.path =
-        completion
+    const auto id = next_request_id();
+    const bool is_completion = http.path == completions_path;
+    auto parsed = is_completion ? read_completion(http, account, id) : read_service_call(http, account, id);
+    if (!parsed)
+        return send_error(*exchange, {parsed.error(), run_outcome::not_run}, id);
+    open_request open;
+    open.exchange = exchange;
+    open.request = std::move(parsed.value().request);
+    open.body = std::move(parsed.value().body);
+    open.content_type = std::move(parsed.value().content_type);
+    open.path =
+        is_completion
             ? completions_path
-            : http.path.substr(std::string_view{services_prefix}.size() + it.request.service->str().size());
-    if (it.path.empty())
-        it.path = "/";
-    it.arrived = clock_();
-    const auto request = it.request;
-    open_.emplace(id, std::move(it));
+            : http.path.substr(std::string_view{services_prefix}.size() + open.request.service->str().size());
+    if (open.path.empty())
+        open.path = "/";
+    open.arrived_at = clock_();
+    const auto request = open.request;
+    open_.emplace(id, std::move(open));
     exchange->on_left(
         [this, id]
         {
@@ -117,17 +117,17 @@
     const auto configuration = instance_->keeper().current();
     for (const auto& model : configuration->models)
     {
-        bool any = false;
+        bool has_allowed_version = false;
         for (const auto& version : model.versions)
         {
             const core::version_ref ref{model.id, version.id};
             if (!account.allows(ref) || version.state == core::version_state::withdrawn)
                 continue;
-            any = true;
+            has_allowed_version = true;
             data.push_back(
                 {{"id", ref.str()}, {"object", "model"}, {"state", std::string{to_string(version.state)}}});
         }
-        if (any)
+        if (has_allowed_version)
             data.push_back({{"id", model.id.str()}, {"object", "model"}});
     }
     const json body{{"object", "list"}, {"data", data}};
@@ -143,13 +143,13 @@
     attempt_body body;
     body.path = open.path;
     body.content_type = open.content_type.empty() ? "application/octet-stream" : open.content_type;
-    body.body = open.request.service ? open.body : body_for_engine(open.body, it.version);
+    body.body = open.request.service ? open.body : body_for_endpoint(open.body, it.version);
     body.stream = open.request.stream;
     const auto* pool = instance_->keeper().current()->pool_of(it.endpoint.id);
     runner_->start(it, pool == nullptr ? std::vector<int>{} : pool->not_started_statuses, std::move(body));
 }
 
-net::header_list caller_api::headers_of(const open_request& it) const
+net::header_list caller_api::answer_headers(const open_request& it) const
 {
     net::header_list out{{"Content-Type", it.head.content_type},
                          {"Runlink-Request-Id", it.request.id.str()},
@@ -173,9 +173,9 @@
         return;
     auto& it = found->second;
     it.head = head;
-    const bool streams = it.request.stream && head.status < 400 && !head.replayed;
-    if (streams)
-        it.exchange->begin(head.status, headers_of(it));
+    const bool is_streamed = it.request.stream && head.status < 400 && !head.replayed;
+    if (is_streamed)
+        it.exchange->begin(head.status, answer_headers(it));
 }
 
 void caller_api::forward(const core::request_id& id, const std::string& bytes)
@@ -187,7 +187,7 @@
     if (!it.exchange->has_begun())
         return;
     if (!std::exchange(it.first_byte_sent, true))
-        metrics_.first_byte(it.request.account, it.request.cls, clock_() - it.arrived);
+        metrics_.first_byte(it.request.account, it.request.cls, clock_() - it.arrived_at);
     it.exchange->chunk(bytes);
 }
 
@@ -204,7 +204,7 @@
     }
     else
     {
-        it.exchange->send(it.head.status, headers_of(it), tail);
+        it.exchange->send(it.head.status, answer_headers(it), tail);
     }
     close(id, it.head.outcome);
 }
@@ -234,7 +234,7 @@
         return;
     const auto it = std::move(found->second);
     open_.erase(found);
-    metrics_.ended(it.request.account, it.request.cls, clock_() - it.arrived, outcome);
+    metrics_.ended(it.request.account, it.request.cls, clock_() - it.arrived_at, outcome);
 }
 
 } // namespace runlink::app
--- a/src/runlink/app/caller_request_reader.cpp
+++ b/src/runlink/app/caller_request_reader.cpp
@@ -19,10 +19,10 @@
 using core::failure;
 using nlohmann::json;
 
-constexpr std::size_t max_key_size = 128;
+constexpr std::size_t max_idempotency_key_bytes = 128;
 constexpr std::uint64_t max_deadline_ms = 600'000;
-constexpr std::size_t prefix_bytes = 2048;
-constexpr std::string_view services_path = "/v1/services/";
+constexpr std::size_t hashed_prefix_bytes = 2048; ///< bytes of the messages that the prefix hash covers
+constexpr std::string_view services_prefix = "/v1/services/";
 
 QByteArray bytes_of(std::string_view it)
 {
@@ -34,12 +34,12 @@
     return std::all_of(it.begin(), it.end(), [](unsigned char c) { return c > ' ' && c < 127; });
 }
 
-core::result<void> read_key(const net::http_request& in, core::caller_request& out)
+core::result<void> read_idempotency_key(const net::http_request& in, core::caller_request& out)
 {
     if (!in.has_header("Idempotency-Key"))
         return boost::outcome_v2::success();
     const auto key = in.header("Idempotency-Key");
-    if (key.empty() || key.size() > max_key_size || !is_printable(key))
+    if (key.empty() || key.size() > max_idempotency_key_bytes || !is_printable(key))
         return failure{errc::malformed_request, "Idempotency-Key: 1 to 128 printable characters"};
     out.key = core::idempotency_key{key};
     return boost::outcome_v2::success();
@@ -58,7 +58,7 @@
     return boost::outcome_v2::success();
 }
 
-core::result<void> read_flags(const net::http_request& in, core::caller_request& out)
+core::result<void> read_repeatable_and_priority(const net::http_request& in, core::caller_request& out)
 {
     const auto repeatable = in.has_header("Runlink-Repeatable") ? in.header("Runlink-Repeatable") : "true";
     if (repeatable != "true" && repeatable != "false")
@@ -81,9 +81,9 @@
     out.account = account.id;
     out.cls = account.default_class;
     out.session = in.header("Runlink-Session");
-    BOOST_OUTCOME_TRYV(read_key(in, out));
+    BOOST_OUTCOME_TRYV(read_idempotency_key(in, out));
     BOOST_OUTCOME_TRYV(read_deadline(in, out));
-    BOOST_OUTCOME_TRYV(read_flags(in, out));
+    BOOST_OUTCOME_TRYV(read_repeatable_and_priority(in, out));
     out.fingerprint = core::stable_digest(
         in.path + "\n" + std::string{in.body.constData(), static_cast<std::size_t>(in.body.size())});
     return out;
@@ -93,7 +93,7 @@
 {
     const auto found = body.find("model");
     if (found == body.end() || !found->is_string() || found->get_ref<const std::string&>().empty())
-        return failure{errc::malformed_request, "$.model: must be a string that is not empty"};
+        return failure{errc::malformed_request, "$.model: must be a non-empty string"};
     const auto name = found->get<std::string>();
     const auto slash = name.find('/');
     out.model = core::model_id{name.substr(0, slash)};
@@ -117,13 +117,13 @@
 {
     const auto found = body.find("messages");
     if (found == body.end() || !found->is_array() || found->empty())
-        return failure{errc::malformed_request, "$.messages: must be an array that is not empty"};
+        return failure{errc::malformed_request, "$.messages: must be a non-empty array"};
     for (std::size_t n = 0; n < found->size(); ++n)
         if (!(*found)[n].is_object() || !(*found)[n].contains("role"))
             return failure{errc::malformed_request,
                            "$.messages[" + std::to_string(n) + "]: must be an object with a role"};
     const auto text = found->dump();
-    out.prefix_hash = core::stable_hash(std::string_view{text}.substr(0, prefix_bytes));
+    out.prefix_hash = core::stable_hash(std::string_view{text}.substr(0, hashed_prefix_bytes));
     return boost::outcome_v2::success();
 }
 
@@ -148,8 +148,9 @@
         .toStdString();
 }
 
-core::result<read_request> read_completion(const net::http_request& it, const core::account_settings& account,
-                                           const core::request_id& id)
+core::result<parsed_caller_request> read_completion(const net::http_request& it,
+                                                    const core::account_settings& account,
+                                                    const core::request_id& id)
 {
     core::json_faults faults;
     const auto body =
@@ -162,20 +163,20 @@
     BOOST_OUTCOME_TRYV(read_model(*body, request));
     BOOST_OUTCOME_TRYV(read_stream(*body, request));
     BOOST_OUTCOME_TRYV(read_messages(*body, request));
-    return read_request{std::move(request), body->dump(), "application/json"};
+    return parsed_caller_request{std::move(request), body->dump(), "application/json"};
 }
 
-core::result<read_request> read_service_call(const net::http_request& it,
-                                             const core::account_settings& account,
-                                             const core::request_id& id)
+core::result<parsed_caller_request> read_service_call(const net::http_request& it,
+                                                      const core::account_settings& account,
+                                                      const core::request_id& id)
 {
     BOOST_OUTCOME_TRY(request, read_headers(it, account, id));
-    const auto rest = it.path.substr(services_path.size());
+    const auto rest = it.path.substr(services_prefix.size());
     request.service = core::service_id{rest.substr(0, rest.find('/'))};
-    return read_request{std::move(request), it.body.toStdString(), it.header("Content-Type")};
+    return parsed_caller_request{std::move(request), it.body.toStdString(), it.header("Content-Type")};
 }
 
-std::string body_for_engine(const std::string& body, const core::version_ref& version)
+std::string body_for_endpoint(const std::string& body, const core::version_ref& version)
 {
     auto doc = json::parse(body);
     doc["model"] = version.str();
--- a/src/runlink/app/daemon.cpp
+++ b/src/runlink/app/daemon.cpp
@@ -16,9 +16,9 @@
 
 core::wall_time wall_now()
 {
-    const auto since = std::chrono::system_clock::now().time_since_epoch();
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
     return core::wall_time{
-        static_cast<std::uint64_t>(std::chrono::duration_cast<core::milliseconds>(since).count())};
+        static_cast<std::uint64_t>(std::chrono::duration_cast<core::milliseconds>(since_epoch).count())};
 }
 
 core::incarnation_id make_incarnation()
@@ -32,19 +32,21 @@
 daemon::daemon(settings options, std::vector<std::string> secrets)
     : settings_{std::move(options)}, clock_{core::runtime_clock::now},
       incarnation_{make_incarnation()}, store_{net::make_store_port(store_client_, settings_.store)},
-      peers_{[this](const core::peer_envelope& it) { instance_->on_peer(clock_(), it); }},
-      callers_{metrics_, clock_, incarnation_.str()}, instance_{std::make_unique<core::instance>(
-                                                          make_options(std::move(secrets)), make_edge())},
+      peer_link_{[this](const core::peer_envelope& it) { instance_->on_peer(clock_(), it); }},
+      caller_api_{metrics_, clock_, incarnation_.str()}, instance_{std::make_unique<core::instance>(
+                                                             make_options(std::move(secrets)),
+                                                             make_instance_hooks())},
       runner_{client_, make_attempt_hooks()}, server_{settings_.bounds,
                                                       [this](const std::shared_ptr<net::http_exchange>& it)
                                                       { handle(it); }}
 {
-    callers_.attach(*instance_, runner_);
-    operators_ = std::make_unique<operator_api>(settings_, *instance_, metrics_, peers_, store_, clock_);
+    caller_api_.attach(*instance_, runner_);
+    operator_api_ =
+        std::make_unique<operator_api>(settings_, *instance_, metrics_, peer_link_, store_, clock_);
     if (!settings_.platform)
         return;
     platform_.emplace(client_, *settings_.platform);
-    callers_.on_answer =
+    caller_api_.on_answer =
         [this](const core::request_id& id, const core::version_ref& version, const std::string& answer)
     {
         platform_->rate(id, version, answer,
@@ -61,7 +63,7 @@
     return out;
 }
 
-core::instance_edge daemon::make_edge()
+core::instance_edge daemon::make_instance_hooks()
 {
     core::instance_edge out;
     out.store = store_;
@@ -69,8 +71,8 @@
     out.mac = hmac_sha256_hex;
     out.wall_clock = wall_now;
     out.send = [this](const std::string& address, const core::peer_envelope& it)
-    { peers_.send(address, it); };
-    out.router = callers_.router_hooks(wall_now);
+    { peer_link_.send(address, it); };
+    out.router = caller_api_.router_hooks(wall_now);
     out.state_changed = log_info;
     return out;
 }
@@ -95,9 +97,9 @@
 
 core::result<void> daemon::start()
 {
-    BOOST_OUTCOME_TRYV(peers_.bind(settings_.peers.str()));
+    BOOST_OUTCOME_TRYV(peer_link_.bind(settings_.peers.str()));
     BOOST_OUTCOME_TRY(port, server_.listen(settings_.callers.host, settings_.callers.port));
-    log_info("instance " + settings_.id.str() + " incarnation " + incarnation_.str() + " listens on " +
+    log_info("instance " + settings_.id.str() + ", incarnation " + incarnation_.str() + ", listening on " +
              settings_.callers.host + ":" + std::to_string(port));
     QObject::connect(&tick_timer_, &QTimer::timeout, &tick_timer_, [this] { tick(); });
     tick_timer_.setTimerType(Qt::PreciseTimer);
@@ -110,9 +112,9 @@
 void daemon::handle(const std::shared_ptr<net::http_exchange>& exchange)
 {
     if (caller_api::serves(exchange->request().path))
-        callers_.handle(exchange);
+        caller_api_.handle(exchange);
     else
-        operators_->handle(exchange);
+        operator_api_->handle(exchange);
 }
 
 void daemon::tick()
@@ -120,10 +122,10 @@
     const auto begin = clock_();
     instance_->tick(begin);
     metrics_.tick_took(clock_() - begin);
-    if (stopped_ || !instance_->is_stopped(clock_()) || callers_.open_count() > 0)
+    if (stopped_ || !instance_->is_stopped(clock_()) || caller_api_.open_count() > 0)
         return;
     stopped_ = true;
-    log_info("stopped");
+    log_info("instance stopped");
     if (on_stopped)
         on_stopped();
 }
--- a/src/runlink/app/logging.cpp
+++ b/src/runlink/app/logging.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-boost::log::trivial::severity_level level_of(const std::string& name)
+boost::log::trivial::severity_level parse_level(const std::string& name)
 {
     boost::log::trivial::severity_level out = boost::log::trivial::info;
     boost::log::trivial::from_string(name.data(), name.size(), out);
@@ -33,7 +33,7 @@
                                                         "TimeStamp", "%Y-%m-%dT%H:%M:%S.%f")
                                                  << " " << boost::log::trivial::severity << " "
                                                  << expr::smessage);
-    boost::log::core::get()->set_filter(boost::log::trivial::severity >= level_of(level));
+    boost::log::core::get()->set_filter(boost::log::trivial::severity >= parse_level(level));
 }
 
 void log_info(const std::string& line)
--- a/src/runlink/app/operator_api.cpp
+++ b/src/runlink/app/operator_api.cpp
@@ -79,10 +79,9 @@
 
 } // namespace
 
-operator_api::operator_api(const settings& options, core::instance& instance,
-                           const observe::metrics& measured, const net::peer_link& peers,
-                           core::store_port store, core::clock_source clock)
-    : settings_{options}, instance_{instance}, metrics_{measured}, peers_{peers}, store_{std::move(store)},
+operator_api::operator_api(const settings& options, core::instance& instance, const observe::metrics& metrics,
+                           const net::peer_link& peers, core::store_port store, core::clock_source clock)
+    : settings_{options}, instance_{instance}, metrics_{metrics}, peers_{peers}, store_{std::move(store)},
       clock_{std::move(clock)}
 {
 }
@@ -102,7 +101,7 @@
     if (request.path == "/healthz")
         return exchange->send(ok, json_type, "{\"healthy\":true}\n");
     if (request.path == "/readyz")
-        return ready(*exchange);
+        return show_readiness(*exchange);
     if (request.path == "/metrics")
         return show_metrics(*exchange);
     if (!is_operator(request))
@@ -113,63 +112,69 @@
 void operator_api::route(const std::shared_ptr<net::http_exchange>& exchange)
 {
     const auto& request = exchange->request();
-    const auto what = request.method + " " + request.path;
-    if (what == "GET /v1/status")
-        return status(*exchange);
-    if (what == "POST /v1/intents")
+    const auto operation = request.method + " " + request.path;
+    if (operation == "GET /v1/status")
+        return show_status(*exchange);
+    if (operation == "POST /v1/intents")
         return make_plan(*exchange);
-    if (what == "POST /v1/plans")
-        return confirm(exchange);
-    if (what == "GET /v1/configuration")
-        return request.query_value("revision").empty() ? configuration(*exchange) : history(exchange);
-    if (what == "GET /v1/explain")
-        return explain(*exchange);
-    send_failure(*exchange, {errc::malformed_request, "path: no such operation"});
+    if (operation == "POST /v1/plans")
+        return confirm_plan(exchange);
+    if (operation == "GET /v1/configuration")
+        return request.query_value("revision").empty() ? show_configuration(*exchange)
+                                                       : show_revision(exchange);
+    if (operation == "GET /v1/explain")
+        return explain_routing(*exchange);
+    send_failure(*exchange, {errc::malformed_request, "path: no such operation for this method"});
 }
 
-void operator_api::ready(net::http_exchange& exchange) const
+void operator_api::show_readiness(net::http_exchange& exchange) const
 {
-    const bool it = instance_.is_ready(clock_());
-    exchange.send(it ? ok : unavailable, json_type, json{{"ready", it}}.dump() + "\n");
+    const bool is_ready = instance_.is_ready(clock_());
+    exchange.send(is_ready ? ok : unavailable, json_type, json{{"ready", is_ready}}.dump() + "\n");
 }
 
 std::vector<observe::plain_metric> operator_api::plain_metrics() const
 {
-    const auto& c = instance_.router().counters();
-    const auto n = [](auto it) { return static_cast<double>(it); };
+    const auto& counters = instance_.router().counters();
+    const auto number = [](auto it) { return static_cast<double>(it); };
     return {
-        {"runlink_admitted_total", "Requests admitted.", true, n(c.admitted)},
-        {"runlink_answered_total", "Requests answered whole.", true, n(c.answered)},
-        {"runlink_replayed_total", "Answers given again for their key.", true, n(c.replayed)},
-        {"runlink_refused_not_run_total", "Requests refused that did not run.", true, n(c.refused_not_run)},
+        {"runlink_admitted_total", "Requests admitted.", true, number(counters.admitted)},
+        {"runlink_answered_total", "Requests answered whole.", true, number(counters.answered)},
+        {"runlink_replayed_total", "Answers given again for their key.", true, number(counters.replayed)},
+        {"runlink_refused_not_run_total", "Requests refused that did not run.", true,
+         number(counters.refused_not_run)},
         {"runlink_ended_unknown_total", "Requests of which it is not known whether they ran.", true,
-         n(c.ended_unknown)},
-        {"runlink_callers_left_total", "Requests whose caller left first.", true, n(c.callers_left)},
-        {"runlink_attempts_total", "Attempts dispatched.", true, n(c.attempts)},
-        {"runlink_retries_total", "Attempts that were retries.", true, n(c.retries)},
+         number(counters.ended_unknown)},
+        {"runlink_callers_left_total", "Requests whose caller left first.", true,
+         number(counters.callers_left)},
+        {"runlink_attempts_total", "Attempts dispatched.", true, number(counters.attempts)},
+        {"runlink_retries_total", "Attempts that were retries.", true, number(counters.retries)},
         {"runlink_endpoint_refusals_total", "Attempts that endpoints did not start.", true,
-         n(c.endpoint_refusals)},
-        {"runlink_late_events_total", "Events of attempts that no longer count.", true, n(c.late_events)},
+         number(counters.endpoint_refusals)},
+        {"runlink_late_events_total", "Events of attempts that no longer count.", true,
+         number(counters.late_events)},
         {"runlink_bills_copied_total", "Bills released on copies in other failure domains.", true,
-         n(c.bills_copied)},
-        {"runlink_bills_at_risk_total", "Bills released on this instance alone.", true, n(c.bills_at_risk)},
+         number(counters.bills_copied)},
+        {"runlink_bills_at_risk_total", "Bills released on this instance alone.", true,
+         number(counters.bills_at_risk)},
         {"runlink_ledger_writes_total", "Writes of the ledger to the store.", true,
-         n(instance_.ledger_writes())},
+         number(instance_.ledger_writes())},
         {"runlink_ledger_pending", "Ledger operations under way.", false,
-         n(instance_.ledger().pending_count())},
-        {"runlink_ledger_copies", "Copies held for peers.", false, n(instance_.ledger().copy_count())},
-        {"runlink_requests_active", "Requests under way.", false, n(instance_.router().active_count())},
+         number(instance_.ledger().pending_count())},
+        {"runlink_ledger_copies", "Copies held for peers.", false, number(instance_.ledger().copy_count())},
+        {"runlink_requests_active", "Requests under way.", false, number(instance_.router().active_count())},
         {"runlink_requests_queued", "Requests that wait for room.", false,
-         n(instance_.router().queued_count())},
+         number(instance_.router().queued_count())},
         {"runlink_configuration_revision", "Revision in force.", false,
-         n(instance_.keeper().revision().value())},
+         number(instance_.keeper().revision().value())},
         {"runlink_live_instances", "Live instances, this one included.", false,
-         n(instance_.members().live_count())},
-        {"runlink_peer_sent_bytes_total", "Bytes sent to peers.", true, n(peers_.sent_bytes())},
-        {"runlink_peer_received_bytes_total", "Bytes received from peers.", true, n(peers_.received_bytes())},
-        {"runlink_peer_sent_messages_total", "Messages sent to peers.", true, n(peers_.sent_messages())},
+         number(instance_.members().live_count())},
+        {"runlink_peer_sent_bytes_total", "Bytes sent to peers.", true, number(peers_.sent_bytes())},
+        {"runlink_peer_received_bytes_total", "Bytes received from peers.", true,
+         number(peers_.received_bytes())},
+        {"runlink_peer_sent_messages_total", "Messages sent to peers.", true, number(peers_.sent_messages())},
         {"runlink_peer_dropped_messages_total", "Messages that no peer took.", true,
-         n(peers_.dropped_messages())},
+         number(peers_.dropped_messages())},
     };
 }
 
@@ -178,7 +183,7 @@
     exchange.send(ok, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics_.text(plain_metrics()));
 }
 
-void operator_api::status(net::http_exchange& exchange) const
+void operator_api::show_status(net::http_exchange& exchange) const
 {
     const auto now = clock_();
     json leaving = json::array();
@@ -206,7 +211,7 @@
     exchange.send(ok, json_type, it.value() + "\n");
 }
 
-void operator_api::confirm(const std::shared_ptr<net::http_exchange>& exchange)
+void operator_api::confirm_plan(const std::shared_ptr<net::http_exchange>& exchange)
 {
     const auto on_confirmed = [exchange](const core::result<core::config_revision>& it)
     {
@@ -217,7 +222,7 @@
     instance_.confirm_plan(clock_(), text_of(exchange->request().body), on_confirmed);
 }
 
-void operator_api::configuration(net::http_exchange& exchange) const
+void operator_api::show_configuration(net::http_exchange& exchange) const
 {
     const auto current = instance_.keeper().current();
     if (!current)
@@ -225,22 +230,22 @@
     exchange.send(ok, json_type, print_configuration(*current) + "\n");
 }
 
-void operator_api::history(const std::shared_ptr<net::http_exchange>& exchange) const
+void operator_api::show_revision(const std::shared_ptr<net::http_exchange>& exchange) const
 {
     const auto text = exchange->request().query_value("revision");
     if (text.find_first_not_of("0123456789") != std::string::npos || text.size() > 18)
         return send_failure(*exchange, {errc::malformed_request, "revision: must be a whole number"});
-    const auto on_found = [exchange](const core::result<core::store_value>& it)
+    const auto on_read = [exchange](const core::result<core::store_value>& it)
     {
         if (!it)
             return send_failure(*exchange, it.error());
         exchange->send(ok, json_type, it.value().data + "\n");
     };
     const core::config_revision revision{std::stoull(text)};
-    store_.get(core::configuration_keeper::history_key_of(settings_.deployment, revision), on_found);
+    store_.get(core::configuration_keeper::history_key_of(settings_.deployment, revision), on_read);
 }
 
-void operator_api::explain(net::http_exchange& exchange)
+void operator_api::explain_routing(net::http_exchange& exchange)
 {
     const auto& http = exchange.request();
     core::caller_request request;
--- a/src/runlink/app/operator_client.cpp
+++ b/src/runlink/app/operator_client.cpp
@@ -56,21 +56,21 @@
     it.idle_timeout_ms = timeout_ms;
     it.headers = {{"Authorization", "Bearer " + key_}, {"Content-Type", "application/json"}};
     QEventLoop loop;
-    net::http_result ended;
+    net::http_result result;
     std::string text;
     fetch(client_, it,
           [&](const net::http_result& r, std::string answer)
           {
-              ended = r;
+              result = r;
               text = std::move(answer);
               loop.quit();
           });
     loop.exec();
-    if (!ended.complete)
-        return core::failure{core::errc::endpoint_lost, address_.str() + ": " + ended.error};
+    if (!result.complete)
+        return core::failure{core::errc::endpoint_lost, address_.str() + ": " + result.error};
     auto doc = json::parse(text, nullptr, false);
-    if (ended.status >= first_error_status)
-        return failure_of(doc, ended.status);
+    if (result.status >= first_error_status)
+        return failure_of(doc, result.status);
     if (doc.is_discarded())
         return core::failure{core::errc::endpoint_answer_invalid, address_.str()};
     return doc;
--- a/src/runlink/app/platform_client.cpp
+++ b/src/runlink/app/platform_client.cpp
@@ -12,7 +12,7 @@
 constexpr int ok = 200;
 constexpr int list_timeout_ms = 3000;
 constexpr int rating_timeout_ms = 600'000;
-constexpr std::size_t max_ratings_under_way = 64;
+constexpr std::size_t max_ratings_in_flight = 64;
 
 std::optional<listed_endpoint> read_entry(const json& it)
 {
@@ -34,7 +34,7 @@
 {
 }
 
-net::http_call platform_client::call(const std::string& method, const std::string& path) const
+net::http_call platform_client::make_call(const std::string& method, const std::string& path) const
 {
     net::http_call it;
     it.method = method;
@@ -47,12 +47,12 @@
 
 void platform_client::poll(std::function<void(const listed_endpoint&)> visit)
 {
-    if (std::exchange(polling_, true))
+    if (std::exchange(poll_in_flight_, true))
         return;
     const auto on_list =
         [this, visit = std::move(visit)](const net::http_result& result, const std::string& body)
     {
-        polling_ = false;
+        poll_in_flight_ = false;
         const auto doc = json::parse(body, nullptr, false);
         if (!result.complete || result.status != ok || !doc.is_object() || !doc["instances"].is_array())
             return;
@@ -60,16 +60,16 @@
             if (const auto it = read_entry(e))
                 visit(*it);
     };
-    fetch(client_, call("GET", "/v1/instances"), on_list);
+    fetch(client_, make_call("GET", "/v1/instances"), on_list);
 }
 
 void platform_client::rate(const core::request_id& request, const core::version_ref& version,
                            const std::string& answer, std::function<void(bool)> rated)
 {
-    if (rating_ >= max_ratings_under_way)
+    if (ratings_in_flight_ >= max_ratings_in_flight)
         return;
-    ++rating_;
-    auto it = call("POST", "/v1/ratings");
+    ++ratings_in_flight_;
+    auto it = make_call("POST", "/v1/ratings");
     it.idle_timeout_ms = rating_timeout_ms;
     it.headers = {{"Content-Type", "application/json"}};
     const json body{{"request", request.str()}, {"version", version.str()}, {"answer", answer}};
@@ -77,7 +77,7 @@
     const auto on_rated =
         [this, rated = std::move(rated)](const net::http_result& result, const std::string& text)
     {
-        --rating_;
+        --ratings_in_flight_;
         const auto doc = json::parse(text, nullptr, false);
         if (result.complete && result.status == ok && doc.is_object() && doc.contains("good") &&
             doc["good"].is_boolean())
--- a/src/runlink/app/programs/runlink.cpp
+++ b/src/runlink/app/programs/runlink.cpp
@@ -1,4 +1,4 @@
-// The operators' command line.
+// The command line for operators.
 
 #include <chrono>
 #include <cstdlib>
@@ -39,14 +39,14 @@
     std::string plan_file;
     std::string account;
     std::string model;
-    int wait_s = 10;
+    int wait_s = 10; ///< longest time to wait until a confirmed plan is in force everywhere
     std::string revision;
     std::vector<std::string> log_files;
     std::string request;
     bool summary = true;
 };
 
-int report(const failure& why)
+int report_failure(const failure& why)
 {
     std::cerr << to_string(why.code) << ": " << why.detail << "\n";
     if (why.code == errc::endpoint_lost)
@@ -78,11 +78,11 @@
 int show_status(const options& opt, operator_client& client, std::string (*table)(const json&))
 {
     const auto it = client.get("/v1/status");
-    return it ? print(opt, it.value(), table(it.value())) : report(it.error());
+    return it ? print(opt, it.value(), table(it.value())) : report_failure(it.error());
 }
 
-/// Sends the intent and returns the plan.
-runlink::core::result<json> plan_of(const options& opt, operator_client& client)
+/// Sends the intent to the instance and returns the plan that it makes.
+runlink::core::result<json> request_plan(const options& opt, operator_client& client)
 {
     const auto intent = read_file(opt.intent_file);
     if (!intent)
@@ -92,10 +92,11 @@
 
 int plan(const options& opt, operator_client& client)
 {
-    const auto it = plan_of(opt, client);
+    const auto it = request_plan(opt, client);
     if (!it)
-        return report(it.error());
-    // The plan itself goes to the output, so that it can be kept and confirmed; people read the table.
+        return report_failure(it.error());
+    // The plan goes to the standard output, where it can be saved for `confirm`; the table for the operator
+    // goes to the standard error stream.
     if (!opt.as_json)
         std::cerr << runlink::app::changes_table(it.value().at("changes"));
     std::cout << it.value().dump(2) << "\n";
@@ -104,14 +105,16 @@
 
 int diff(const options& opt, operator_client& client)
 {
-    const auto it = plan_of(opt, client);
+    const auto it = request_plan(opt, client);
     if (!it)
-        return report(it.error());
+        return report_failure(it.error());
     const auto& changes = it.value().at("changes");
     return print(opt, changes, runlink::app::changes_table(changes));
 }
 
-std::pair<std::size_t, std::size_t> in_force(const json& status, std::uint64_t revision)
+/// Returns the number of instances that have at least this revision in force, and the number of all
+/// instances.
+std::pair<std::size_t, std::size_t> count_in_force(const json& status, std::uint64_t revision)
 {
     std::size_t n = 0;
     for (const auto& it : status.at("members"))
@@ -119,7 +122,8 @@
     return {n, status.at("members").size()};
 }
 
-std::string behind(const json& status, std::uint64_t revision)
+/// Returns the names of the instances with an earlier revision, each after a space.
+std::string instances_behind(const json& status, std::uint64_t revision)
 {
     std::string out;
     for (const auto& it : status.at("members"))
@@ -131,21 +135,21 @@
 int wait_until_in_force(const options& opt, operator_client& client, std::uint64_t revision)
 {
     const auto deadline = runlink::core::runtime_clock::now() + std::chrono::seconds{opt.wait_s};
-    std::string missing;
+    std::string behind;
     do
     {
         const auto status = client.get("/v1/status");
         if (!status)
-            return report(status.error());
-        const auto [n, all] = in_force(status.value(), revision);
+            return report_failure(status.error());
+        const auto [n, all] = count_in_force(status.value(), revision);
         if (!opt.as_json)
             std::cerr << "revision " << revision << " in force at " << n << " of " << all << " instances\n";
         if (n == all)
             return print(opt, {{"revision", revision}, {"in_force", n}}, "confirmed\n");
-        missing = behind(status.value(), revision);
+        behind = instances_behind(status.value(), revision);
         std::this_thread::sleep_for(progress_interval);
     } while (runlink::core::runtime_clock::now() < deadline);
-    std::cerr << "accepted, but not yet in force at:" << missing << "\n";
+    std::cerr << "the plan is accepted, but its revision is not yet in force at:" << behind << "\n";
     return exit_incomplete;
 }
 
@@ -153,10 +157,10 @@
 {
     const auto text = read_file(opt.plan_file);
     if (!text)
-        return report({errc::plan_invalid, opt.plan_file + ": cannot be read"});
+        return report_failure({errc::plan_invalid, opt.plan_file + ": cannot be read"});
     const auto it = client.post("/v1/plans", *text);
     if (!it)
-        return report(it.error());
+        return report_failure(it.error());
     return wait_until_in_force(opt, client, it.value().at("revision").get<std::uint64_t>());
 }
 
@@ -164,14 +168,14 @@
 {
     const auto it =
         client.get("/v1/configuration" + (opt.revision.empty() ? "" : "?revision=" + opt.revision));
-    return it ? print(opt, it.value(), it.value().dump(2) + "\n") : report(it.error());
+    return it ? print(opt, it.value(), it.value().dump(2) + "\n") : report_failure(it.error());
 }
 
-int history(const options& opt, operator_client& client)
+int list_revisions(const options& opt, operator_client& client)
 {
     const auto current = client.get("/v1/configuration");
     if (!current)
-        return report(current.error());
+        return report_failure(current.error());
     std::vector<std::vector<std::string>> rows{{"REVISION", "OPERATION"}};
     json list = json::array();
     for (auto n = current.value().at("revision").get<std::uint64_t>(); n > 0; --n)
@@ -188,18 +192,19 @@
 {
     const auto it = client.get("/v1/explain?account=" + opt.account + "&model=" + opt.model);
     if (!it)
-        return report(it.error());
+        return report_failure(it.error());
     const auto& e = it.value();
-    const auto endpoint = e.at("endpoint").is_null() ? "none has room" : e.at("endpoint").get<std::string>();
+    const auto endpoint =
+        e.at("endpoint").is_null() ? "none with free capacity" : e.at("endpoint").get<std::string>();
     return print(opt, e,
                  "version " + e.at("version").get<std::string>() + "\nendpoint " + endpoint + "\ncapacity " +
                      e.at("capacity").dump() + "\n");
 }
 
 using runlink::observe::log_records;
-using log_report = std::function<std::string(const options&, const log_records&)>;
+using log_report_maker = std::function<std::string(const options&, const log_records&)>;
 
-int read_logs(const options& opt, const log_report& report_on)
+int read_logs(const options& opt, const log_report_maker& make_report)
 {
     log_records logs;
     for (const auto& path : opt.log_files)
@@ -211,10 +216,10 @@
         }
         std::ifstream in{path};
         if (!in)
-            return report({errc::malformed_request, path + ": cannot be read"});
+            return report_failure({errc::malformed_request, path + ": cannot be read"});
         runlink::observe::read_log(in, logs);
     }
-    std::cout << report_on(opt, logs);
+    std::cout << make_report(opt, logs);
     return exit_ok;
 }
 
@@ -222,13 +227,13 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App cli{"runlink, for the operators of the model-aware router"};
+    CLI::App cli{"runlink, the command line for operators of the model-aware router"};
     options opt;
     cli.add_option("--address", opt.address, "Instance to ask, ip:port");
-    cli.add_flag("--json", opt.as_json, "Answers for programs");
+    cli.add_flag("--json", opt.as_json, "Print JSON");
     cli.footer("The operator's key is read from RUNLINK_OPERATOR_KEY.\n"
-               "Exit codes: 0 done, 1 refused, 2 usage, 3 unreachable, 4 conflict, 5 accepted but not yet "
-               "everywhere.");
+               "Exit codes: 0 done, 1 refused, 2 usage error, 3 instance unreachable, 4 plan conflict, "
+               "5 accepted but not yet in force at every instance.");
     cli.require_subcommand(1);
     std::function<int(operator_client&)> run;
     const auto add = [&](CLI::App& to, const char* name, const char* help, auto action)
@@ -238,44 +243,45 @@
                      { run = [&opt, action](operator_client& c) { return action(opt, c); }; });
         return it;
     };
-    add(cli, "status", "Instances, and the revision each has in force",
+    add(cli, "status", "Show the instances and the revision in force at each",
         [](const options& o, operator_client& c) { return show_status(o, c, runlink::app::status_table); });
-    add(cli, "versions", "Versions, their states, and how their answers were rated",
+    add(cli, "versions", "Show the versions, their states and the ratings of their answers",
         [](const options& o, operator_client& c) { return show_status(o, c, runlink::app::versions_table); });
-    add(cli, "plan", "Turn an intent into a plan; nothing changes", plan)
-        ->add_option("-f,--file", opt.intent_file, "Intent, JSON; - reads the input")
+    add(cli, "plan", "Turn an intent into a plan without applying it", plan)
+        ->add_option("-f,--file", opt.intent_file, "Intent, JSON; - reads the standard input")
         ->required();
-    add(cli, "diff", "What an intent would change", diff)
-        ->add_option("-f,--file", opt.intent_file, "Intent, JSON; - reads the input")
+    add(cli, "diff", "Show what an intent would change", diff)
+        ->add_option("-f,--file", opt.intent_file, "Intent, JSON; - reads the standard input")
         ->required();
     auto* confirm_command =
-        add(cli, "confirm", "Put a plan into force and wait until every instance has it", confirm);
-    confirm_command->add_option("plan", opt.plan_file, "Plan, JSON; - reads the input")->required();
+        add(cli, "confirm", "Apply a plan and wait until it is in force at every instance", confirm);
+    confirm_command->add_option("plan", opt.plan_file, "Plan, JSON; - reads the standard input")->required();
     confirm_command->add_option("--wait", opt.wait_s, "Seconds to wait");
-    auto* config = cli.add_subcommand("config", "The configuration");
+    auto* config = cli.add_subcommand("config", "Show the configuration");
     config->require_subcommand(1);
-    add(*config, "show", "The configuration in force", show_configuration)
-        ->add_option("--revision", opt.revision, "An earlier revision");
-    add(*config, "history", "The revisions", history);
-    auto* explain_command = add(cli, "explain", "Which version and endpoint a request would get", explain);
+    add(*config, "show", "Show the configuration in force", show_configuration)
+        ->add_option("--revision", opt.revision, "Show this earlier revision instead");
+    add(*config, "history", "List the revisions", list_revisions);
+    auto* explain_command =
+        add(cli, "explain", "Show the version and the endpoint that a request would get", explain);
     explain_command->add_option("--account", opt.account, "Client account")->required();
     explain_command->add_option("--model", opt.model, "Model, or model/version")->required();
     std::function<int()> run_on_logs;
-    const auto add_log_command = [&](const char* name, const char* help, auto report_on)
+    const auto add_log_command = [&](const char* name, const char* help, auto make_report)
     {
         auto* it = cli.add_subcommand(name, help);
-        it->add_option("files", opt.log_files, "Logs; - reads the input")->required();
-        it->callback([&run_on_logs, &opt, report_on]
-                     { run_on_logs = [&opt, report_on] { return read_logs(opt, report_on); }; });
+        it->add_option("files", opt.log_files, "Log files; - reads the standard input")->required();
+        it->callback([&run_on_logs, &opt, make_report]
+                     { run_on_logs = [&opt, make_report] { return read_logs(opt, make_report); }; });
         return it;
     };
-    add_log_command("trace", "The story of one request, from the logs of one or more instances",
+    add_log_command("trace", "Show the events of one request, from the logs of one or more instances",
                     [](const options& o, const log_records& it) { return trace_request(it, o.request); })
         ->add_option("--request", opt.request, "Id of the request")
         ->required();
-    add_log_command("logs", "Counts of what happened, by reason",
+    add_log_command("logs", "Count the events in logs, by reason",
                     [](const options&, const log_records& it) { return summarize(it); })
-        ->add_flag("--summary", opt.summary, "Counts by event and reason; the only report there is");
+        ->add_flag("--summary", opt.summary, "Counts by event and reason; the only report available");
     try
     {
         cli.parse(argc, argv);
@@ -289,7 +295,7 @@
     const auto address = runlink::app::parse_host_port(opt.address);
     if (!address)
     {
-        std::cerr << "--address must be an IP number and a port\n";
+        std::cerr << "--address must be an IP address and a port\n";
         return exit_usage;
     }
     QCoreApplication application{argc, argv};
--- a/src/runlink/app/programs/runlinkd.cpp
+++ b/src/runlink/app/programs/runlinkd.cpp
@@ -1,4 +1,4 @@
-// The daemon: one entry instance.
+// The daemon: runs one instance.
 
 #include <csignal>
 #include <cstdlib>
@@ -14,26 +14,26 @@
 namespace
 {
 
-constexpr int exit_settings = 2;
+constexpr int exit_settings_invalid = 2;
 
 std::vector<std::string> split_secrets(const char* text)
 {
     std::vector<std::string> out;
-    std::string rest = text == nullptr ? "" : text;
-    while (!rest.empty())
+    std::string remaining = text == nullptr ? "" : text;
+    while (!remaining.empty())
     {
-        const auto comma = rest.find(',');
+        const auto comma = remaining.find(',');
         if (comma != 0)
-            out.push_back(rest.substr(0, comma));
-        rest = comma == std::string::npos ? "" : rest.substr(comma + 1);
+            out.push_back(remaining.substr(0, comma));
+        remaining = comma == std::string::npos ? "" : remaining.substr(comma + 1);
     }
     return out;
 }
 
-int fail(const runlink::core::failure& why)
+int report_failure(const runlink::core::failure& why)
 {
     std::cerr << to_string(why.code) << ":\n" << why.detail << "\n";
-    return exit_settings;
+    return exit_settings_invalid;
 }
 
 int run(int argc, char** argv, const runlink::app::settings& settings)
@@ -41,8 +41,9 @@
     using namespace runlink;
     const auto secrets = split_secrets(std::getenv(settings.secrets_environment.c_str()));
     if (secrets.empty())
-        return fail({core::errc::settings_invalid,
-                     "$.secrets_environment: " + settings.secrets_environment + " holds no secret"});
+        return report_failure(
+            {core::errc::settings_invalid,
+             "$.secrets_environment: " + settings.secrets_environment + " is unset or holds no secret"});
     QCoreApplication application{argc, argv};
     app::start_logging(settings.log_level);
     app::daemon daemon{settings, secrets};
@@ -50,7 +51,7 @@
     const auto stop = [&] { daemon.begin_stop(); };
     const gateway::signal_watcher signals{{{SIGTERM, stop}, {SIGINT, stop}}};
     if (const auto started = daemon.start(); !started)
-        return fail(started.error());
+        return report_failure(started.error());
     return QCoreApplication::exec();
 }
 
@@ -58,10 +59,10 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App cli{"runlinkd, an entry instance of the model-aware router"};
+    CLI::App cli{"runlinkd, an instance of the model-aware router"};
     std::string path;
     std::string check_path;
-    auto* settings = cli.add_option("--settings", path, "Settings of this instance, JSON");
+    auto* settings = cli.add_option("--settings", path, "Settings file of this instance, JSON");
     auto* check =
         cli.add_option("--check-settings", check_path, "Check a settings file, print its faults, and exit");
     settings->excludes(check);
@@ -69,11 +70,11 @@
     if (path.empty() && check_path.empty())
     {
         std::cerr << "--settings or --check-settings is required\n";
-        return exit_settings;
+        return exit_settings_invalid;
     }
     const auto it = runlink::app::load_settings(check_path.empty() ? path : check_path);
     if (!it)
-        return fail(it.error());
+        return report_failure(it.error());
     if (!check_path.empty())
     {
         std::cout << check_path << ": no faults\n";
--- a/src/runlink/app/settings.cpp
+++ b/src/runlink/app/settings.cpp
@@ -19,7 +19,7 @@
 constexpr std::int64_t max_instances = 100'000;
 constexpr std::int64_t max_partitions = 4096;
 
-bool is_ip_number(std::string_view it)
+bool is_ip_address(std::string_view it)
 {
     return !it.empty() && it.find_first_not_of("0123456789abcdefABCDEF.:") == std::string_view::npos &&
            it.find_first_of(".:") != std::string_view::npos;
@@ -29,8 +29,8 @@
 {
     host_port it;
     it.host = in.required_string("host");
-    if (!it.host.empty() && !is_ip_number(it.host))
-        in.fault("host", "must be an IP number");
+    if (!it.host.empty() && !is_ip_address(it.host))
+        in.fault("host", "must be an IP address");
     it.port = static_cast<std::uint16_t>(in.required_integer("port", min_port, max_port));
     return it;
 }
@@ -40,7 +40,7 @@
     const auto text = in.required_string(name);
     const auto it = parse_host_port(text);
     if (!text.empty() && !it)
-        in.fault(name, "must be an IP number and a port, such as 10.0.0.1:7100");
+        in.fault(name, "must be an IP address and a port, such as 10.0.0.1:7100");
     return it.value_or(host_port{});
 }
 
@@ -63,7 +63,7 @@
     it.seeds = in.optional_strings("seeds");
     for (std::size_t n = 0; n < it.seeds.size(); ++n)
         if (!parse_host_port(it.seeds[n]))
-            in.fault("seeds[" + std::to_string(n) + "]", "must be an IP number and a port");
+            in.fault("seeds[" + std::to_string(n) + "]", "must be an IP address and a port");
 }
 
 void read_bounds(json_object_reader& in, settings& it)
@@ -100,7 +100,7 @@
         in.fault("level", "must be debug, info, warning or error");
 }
 
-void read_all(json_object_reader& in, settings& it)
+void read_settings(json_object_reader& in, settings& it)
 {
     it.deployment = in.required_string("deployment");
     const auto required = [&](const char* name, const std::function<void(json_object_reader&)>& read)
@@ -129,7 +129,7 @@
 std::optional<host_port> parse_host_port(std::string_view text)
 {
     const auto colon = text.rfind(':');
-    if (colon == std::string_view::npos || !is_ip_number(text.substr(0, colon)))
+    if (colon == std::string_view::npos || !is_ip_address(text.substr(0, colon)))
         return std::nullopt;
     host_port it;
     it.host = std::string{text.substr(0, colon)};
@@ -147,7 +147,7 @@
     if (const auto doc = core::parse_json(text, faults))
     {
         json_object_reader in{*doc, "$", faults};
-        read_all(in, it);
+        read_settings(in, it);
     }
     if (!faults.empty())
         return core::failure{core::errc::settings_invalid, faults.str()};
--- a/src/runlink/app/sse_splitter.cpp
+++ b/src/runlink/app/sse_splitter.cpp
@@ -16,14 +16,14 @@
     {
         if (c == '\r')
             continue;
-        rest_ += c;
-        if (!rest_.ends_with(event_end))
+        incomplete_ += c;
+        if (!incomplete_.ends_with(event_end))
             continue;
-        auto event = std::move(rest_);
-        rest_.clear();
+        auto event = std::move(incomplete_);
+        incomplete_.clear();
         visit(std::move(event));
     }
-    return rest_.size() <= max_event_bytes_;
+    return incomplete_.size() <= max_event_bytes_;
 }
 
 std::string_view data_of(std::string_view event)
--- a/src/runlink/app/tables.cpp
+++ b/src/runlink/app/tables.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t column_gap = 2;
 
-std::string cell(const json& it, const char* name)
+std::string cell_text(const json& it, const char* name)
 {
     if (!it.contains(name))
         return "-";
@@ -21,8 +21,8 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-std::vector<std::vector<std::string>> rows_of(const json& list, const std::vector<const char*>& names,
-                                              std::vector<std::string> heading)
+std::vector<std::vector<std::string>> table_rows(const json& list, const std::vector<const char*>& names,
+                                                 std::vector<std::string> heading)
 {
     std::vector<std::vector<std::string>> out{std::move(heading)};
     for (const auto& it : list)
@@ -30,7 +30,7 @@
         std::vector<std::string> row;
         row.reserve(names.size());
         for (const auto* name : names)
-            row.push_back(cell(it, name));
+            row.push_back(cell_text(it, name));
         out.push_back(std::move(row));
     }
     return out;
@@ -64,23 +64,24 @@
     return "deployment " + status.value("deployment", "") + ", revision " +
            std::to_string(status.value("revision", 0)) + " in force at " + status.value("instance", "") +
            "\n" +
-           format_table(rows_of(status.at("members"),
-                                {"instance", "failure_domain", "address", "ready", "stopping", "revision"},
-                                {"INSTANCE", "FAILURE DOMAIN", "ADDRESS", "READY", "STOPPING", "REVISION"}));
+           format_table(
+               table_rows(status.at("members"),
+                          {"instance", "failure_domain", "address", "ready", "stopping", "revision"},
+                          {"INSTANCE", "FAILURE DOMAIN", "ADDRESS", "READY", "STOPPING", "REVISION"}));
 }
 
 std::string versions_table(const json& status)
 {
-    return format_table(
-        rows_of(status.at("versions"),
-                {"version", "state", "share_percent", "cost_per_1k_tokens", "started", "good", "bad",
-                 "failed", "stopped_by_guard"},
-                {"VERSION", "STATE", "SHARE %", "COST/1K", "STARTED", "GOOD", "BAD", "FAILED", "STOPPED"}));
+    return format_table(table_rows(
+        status.at("versions"),
+        {"version", "state", "share_percent", "cost_per_1k_tokens", "started", "good", "bad", "failed",
+         "stopped_by_guard"},
+        {"VERSION", "STATE", "SHARE %", "COST/1K", "STARTED", "GOOD", "BAD", "FAILED", "STOPPED"}));
 }
 
 std::string changes_table(const json& changes)
 {
-    return format_table(rows_of(changes, {"path", "before", "after"}, {"PATH", "BEFORE", "AFTER"}));
+    return format_table(table_rows(changes, {"path", "before", "after"}, {"PATH", "BEFORE", "AFTER"}));
 }
 
 } // namespace runlink::app
