--- a/src/runlink/app/daemon.cpp
+++ b/src/runlink/app/daemon.cpp
@@ -125,7 +125,7 @@
     if (stopped_ || !instance_->is_stopped(clock_()) || caller_api_.open_count() > 0)
         return;
     stopped_ = true;
-    log_info("instance stopped");
+    log_info("stopped");
     if (on_stopped)
         on_stopped();
 }
