--- a/include/runlink/app/daemon.hpp
+++ b/include/runlink/app/daemon.hpp
@@ -31,7 +31,7 @@
 
 private:
     core::instance_options make_options(std::vector<std::string> secrets) const;
-    core::instance_edge make_instance_hooks();
+    core::instance_hooks make_instance_hooks();
     attempt_hooks make_attempt_hooks();
     void handle(const std::shared_ptr<net::http_exchange>& exchange);
     void tick();
--- a/src/runlink/app/daemon.cpp
+++ b/src/runlink/app/daemon.cpp
@@ -63,9 +63,9 @@
     return out;
 }
 
-core::instance_edge daemon::make_instance_hooks()
+core::instance_hooks daemon::make_instance_hooks()
 {
-    core::instance_edge out;
+    core::instance_hooks out;
     out.store = store_;
     out.codec = proto::make_ledger_codec();
     out.mac = hmac_sha256_hex;
