--- a/include/runlink/observe/decision_log.hpp
+++ b/include/runlink/observe/decision_log.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Structured log: one JSON object a line on a file descriptor, bounded, never blocking.
+/// Structured log: one JSON object per line on a file descriptor. Size and rate are bounded, and writing
+/// never blocks.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +14,16 @@
 namespace runlink::observe
 {
 
-/// How much a line matters when there is no room for all.
+/// Priority of a line when the bounds of the log do not admit all lines.
 enum class log_rank
 {
-    routine, ///< left out first
-    notable, ///< failures and changes of state
-    vital,   ///< decisions that hold for all requests; only a reader that stops reading costs them
+    routine, ///< dropped first
+    notable, ///< failures and state changes
+    vital,   ///< decisions that affect all requests; exempt from the rate limit, dropped only if the reader
+             ///< stalls
 };
 
-/// Writes the members of one JSON object.
+/// Builds one log line: a JSON object with an event name and further members.
 class log_line
 {
 public:
@@ -29,7 +31,7 @@
 
     log_line& text(std::string_view name, std::string_view value);
     log_line& number(std::string_view name, std::int64_t value);
-    /// The whole line, closed.
+    /// The complete line, with the closing brace and a newline.
     std::string str() const { return buf_ + "}\n"; }
     const std::string& event() const { return event_; }
 
@@ -40,47 +42,54 @@
     std::string buf_;
 };
 
-/// Bounds of the log.
+/// Bounds of the log's rate and memory.
 struct log_options
 {
-    std::uint32_t lines_per_second = 400;       ///< all lines; notable ones may use as many again
-    std::size_t max_waiting_bytes = 256 * 1024; ///< not taken by the reader yet
-    std::size_t flush_bytes = 4096;             ///< written without waiting for `flush`
+    std::uint32_t lines_per_second =
+        400; ///< limit for routine lines; notable lines are admitted up to twice this total
+    std::size_t max_pending_bytes = 256 * 1024; ///< lines that the reader has not accepted yet
+    std::size_t flush_bytes = 4096;             ///< buffered bytes at which `write` flushes by itself
 };
 
-/// Collects lines and writes what the descriptor takes without waiting. What does not fit is left out and
-/// counted, and a line tells how many of which event were left out.
+/// Buffers lines and writes as many bytes as the descriptor accepts without blocking. Lines over the bounds
+/// are dropped and counted; a `lines_left_out` line reports the number of dropped lines per event.
 class decision_log
 {
 public:
     using clock = std::function<std::int64_t()>; ///< wall-clock time in milliseconds
 
+    /// Switches `fd` to non-blocking mode. The caller keeps ownership of `fd`.
     decision_log(int fd, log_options options, std::string instance, clock wall_ms);
     ~decision_log();
     decision_log(const decision_log&) = delete;
     decision_log& operator=(const decision_log&) = delete;
 
+    /// Buffers the line, or drops and counts it if it exceeds the bounds for its rank.
     void write(core::time_point now, const log_line& line, log_rank rank = log_rank::routine);
-    /// Writes what waits, as far as the reader takes it.
+    /// Writes buffered bytes until the buffer is empty or the descriptor accepts no more.
     void flush();
+    /// Number of lines accepted into the buffer since the start.
     std::uint64_t written() const { return written_; }
-    std::uint64_t left_out() const { return left_out_; }
+    /// Number of lines dropped since the start.
+    std::uint64_t left_out() const { return dropped_; }
 
 private:
-    bool take(core::time_point now, log_rank rank);
-    void tell_left_out();
+    /// Whether the bounds admit a line of this rank; counts the line if so.
+    bool admit(core::time_point now, log_rank rank);
+    /// Appends a line with the number of dropped lines per event, and resets these counts.
+    void report_dropped_lines();
     void append(const log_line& line);
 
     int fd_;
     log_options options_;
     std::string instance_;
     clock wall_ms_;
-    std::string waiting_;
-    std::int64_t second_ = -1;
-    std::uint32_t lines_ = 0; ///< in this second
-    std::map<std::string, std::uint64_t> left_out_by_event_;
+    std::string pending_;
+    std::int64_t current_second_ = -1;  ///< the second that `lines_in_second_` refers to
+    std::uint32_t lines_in_second_ = 0; ///< lines admitted in the current second
+    std::map<std::string, std::uint64_t> dropped_by_event_;
     std::uint64_t written_ = 0;
-    std::uint64_t left_out_ = 0;
+    std::uint64_t dropped_ = 0;
 };
 
 } // namespace runlink::observe
--- a/include/runlink/observe/metrics.hpp
+++ b/include/runlink/observe/metrics.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What an instance measures, and its Prometheus text.
+/// Metrics of one instance, exported in the Prometheus text format.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 namespace runlink::observe
 {
 
-/// A counter or gauge of the whole instance.
+/// A counter or gauge without labels.
 struct plain_metric
 {
     std::string name;
@@ -24,25 +24,28 @@
     double value = 0;
 };
 
-/// Histograms of latency per client account and class, and counters of outcomes.
+/// Latency histograms and outcome counters per client account and request class, and durations of ticks.
 class metrics
 {
 public:
     metrics();
     ~metrics();
 
-    void first_byte(const core::account_id& account, const core::request_class& cls, core::duration after);
-    void ended(const core::account_id& account, const core::request_class& cls, core::duration after,
+    /// Records the time from a request's arrival to the first byte of its answer.
+    void first_byte(const core::account_id& account, const core::request_class& cls, core::duration elapsed);
+    /// Records the time from a request's arrival to its end, and its outcome.
+    void ended(const core::account_id& account, const core::request_class& cls, core::duration elapsed,
                core::run_outcome outcome);
-    /// Processor time of one tick of the decisions.
-    void tick_took(core::duration it);
+    /// Records the duration of one tick of the router.
+    void tick_took(core::duration elapsed);
 
-    /// All of it, and the given metrics, as Prometheus text.
+    /// All recorded metrics and the given ones in the Prometheus text format.
     std::string text(const std::vector<plain_metric>& plain) const;
 
 private:
     struct series;
-    series& at(const core::account_id& account, const core::request_class& cls);
+    /// The series of an account and class; created on first use.
+    series& series_of(const core::account_id& account, const core::request_class& cls);
 
     std::map<std::pair<std::string, std::string>, std::unique_ptr<series>> series_;
     struct tick_statistics;
--- a/src/runlink/observe/decision_log.cpp
+++ b/src/runlink/observe/decision_log.cpp
@@ -58,7 +58,7 @@
 decision_log::decision_log(int fd, log_options options, std::string instance, clock wall_ms)
     : fd_{fd}, options_{options}, instance_{std::move(instance)}, wall_ms_{std::move(wall_ms)}
 {
-    // A reader that stops reading must not stop the process.
+    // A reader that stops reading must not block the process.
     const int flags = fcntl(fd_, F_GETFL);
     if (flags >= 0)
         (void)fcntl(fd_, F_SETFL, flags | O_NONBLOCK);
@@ -69,65 +69,66 @@
     flush();
 }
 
-bool decision_log::take(core::time_point now, log_rank rank)
+bool decision_log::admit(core::time_point now, log_rank rank)
 {
     const auto second = std::chrono::floor<core::seconds>(now).time_since_epoch().count();
-    if (second != second_)
+    if (second != current_second_)
     {
-        second_ = second;
-        lines_ = 0;
-        tell_left_out();
+        current_second_ = second;
+        lines_in_second_ = 0;
+        report_dropped_lines();
     }
     const auto share = rank == log_rank::routine ? 1 : 2;
-    const auto room = options_.max_waiting_bytes / 2 * static_cast<std::size_t>(share);
-    if (waiting_.size() >= room)
+    const auto room = options_.max_pending_bytes / 2 * static_cast<std::size_t>(share);
+    if (pending_.size() >= room)
         return false;
-    if (rank != log_rank::vital && lines_ >= options_.lines_per_second * static_cast<std::uint32_t>(share))
+    if (rank != log_rank::vital &&
+        lines_in_second_ >= options_.lines_per_second * static_cast<std::uint32_t>(share))
         return false;
-    ++lines_;
+    ++lines_in_second_;
     return true;
 }
 
 void decision_log::append(const log_line& line)
 {
-    waiting_.append("{\"t_ms\":").append(std::to_string(wall_ms_()));
-    waiting_.append(",\"instance\":\"").append(instance_).append("\",").append(line.str());
+    pending_.append("{\"t_ms\":").append(std::to_string(wall_ms_()));
+    pending_.append(",\"instance\":\"").append(instance_).append("\",").append(line.str());
     ++written_;
 }
 
-void decision_log::tell_left_out()
+void decision_log::report_dropped_lines()
 {
-    if (left_out_by_event_.empty())
+    if (dropped_by_event_.empty())
         return;
     log_line line{"lines_left_out"};
-    for (const auto& [event, n] : left_out_by_event_)
+    for (const auto& [event, n] : dropped_by_event_)
         line.number(event, static_cast<std::int64_t>(n));
-    left_out_by_event_.clear();
+    dropped_by_event_.clear();
     append(line);
 }
 
 void decision_log::write(core::time_point now, const log_line& line, log_rank rank)
 {
-    if (!take(now, rank))
+    if (!admit(now, rank))
     {
-        ++left_out_;
-        ++left_out_by_event_[line.event()];
+        ++dropped_;
+        ++dropped_by_event_[line.event()];
         return;
     }
     append(line);
-    if (waiting_.size() >= options_.flush_bytes)
+    if (pending_.size() >= options_.flush_bytes)
         flush();
 }
 
 void decision_log::flush()
 {
-    while (!waiting_.empty())
+    while (!pending_.empty())
     {
-        const auto n = ::write(fd_, waiting_.data(), waiting_.size());
+        const auto n = ::write(fd_, pending_.data(), pending_.size());
         if (n > 0)
-            waiting_.erase(0, static_cast<std::size_t>(n));
+            pending_.erase(0, static_cast<std::size_t>(n));
         else if (errno != EINTR)
-            return; // the reader takes no more now; the bound on waiting bytes holds
+            return; // the reader accepts no more for now; `max_pending_bytes` bounds the buffer
     }
 }
 
--- a/src/runlink/observe/log_report.cpp
+++ b/src/runlink/observe/log_report.cpp
@@ -11,8 +11,9 @@
 
 using nlohmann::json;
 
-/// A request's first line may be written this much after what led to it.
-constexpr std::int64_t lead_ms = 1000;
+/// State changes up to this long before a request's first line are part of its trace: they may have caused
+/// it.
+constexpr std::int64_t lead_time_ms = 1000;
 
 std::int64_t time_of(const json& it)
 {
@@ -55,25 +56,25 @@
 std::string trace_request(const log_records& from, const std::string& request)
 {
     std::set<std::string> instances;
-    std::vector<const json*> own;
+    std::vector<const json*> request_lines;
     for (const auto& it : from.lines)
     {
         if (it.value("request", "") != request)
             continue;
-        own.push_back(&it);
+        request_lines.push_back(&it);
         instances.insert(it.value("instance", ""));
     }
-    if (own.empty())
-        return "no line names request " + request + "\n";
-    const auto first = time_of(*own.front());
-    const auto last = time_of(*own.back());
+    if (request_lines.empty())
+        return "no log line for request " + request + "\n";
+    const auto first = time_of(*request_lines.front());
+    const auto last = time_of(*request_lines.back());
     std::string out;
     for (const auto& it : from.lines)
     {
         const bool is_own = it.value("request", "") == request;
-        const bool is_near = time_of(it) >= first - lead_ms && time_of(it) <= last &&
-                             instances.contains(it.value("instance", "")) && !is_about_request(it);
-        if (is_own || is_near)
+        const bool is_state_change = time_of(it) >= first - lead_time_ms && time_of(it) <= last &&
+                                     instances.contains(it.value("instance", "")) && !is_about_request(it);
+        if (is_own || is_state_change)
             out += (is_own ? "  " : "~ ") + format(it, first);
     }
     return out;
@@ -82,20 +83,20 @@
 std::string summarize(const log_records& from)
 {
     std::map<std::pair<std::string, std::string>, std::size_t> counts;
-    std::size_t left_out = 0;
+    std::size_t dropped = 0;
     for (const auto& it : from.lines)
     {
         const auto event = it.value("event", "");
         if (event == "lines_left_out")
             for (const auto& [name, n] : it.items())
-                left_out += n.is_number() && name != "t_ms" ? n.get<std::size_t>() : 0;
+                dropped += n.is_number() && name != "t_ms" ? n.get<std::size_t>() : 0;
         const auto reason = is_about_request(it) ? it.value("reason", "") : std::string{};
         ++counts[{event, reason}];
     }
     std::ostringstream out;
     for (const auto& [key, n] : counts)
         out << n << "\t" << key.first << (key.second.empty() ? "" : " " + key.second) << "\n";
-    out << from.lines.size() << "\tlines; left out by the instances: " << left_out
+    out << from.lines.size() << "\tlines; left out by the instances: " << dropped
         << "; not readable: " << from.unreadable << "\n";
     return out.str();
 }
--- a/src/runlink/observe/metrics.cpp
+++ b/src/runlink/observe/metrics.cpp
@@ -22,20 +22,20 @@
 using summary =
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::mean, acc::tag::max>>;
 
-/// Upper edges in seconds.
-const std::vector<double> edges{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35,
-                                0.53,  0.75,  1,     2,    5,    10,   30,  60};
+/// Upper bounds of the histogram buckets in seconds.
+const std::vector<double> bucket_bounds_s{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35,
+                                          0.53,  0.75,  1,     2,    5,    10,   30,  60};
 
-std::vector<double> axis_edges()
+std::vector<double> axis_bounds()
 {
     std::vector<double> out{0};
-    out.insert(out.end(), edges.begin(), edges.end());
+    out.insert(out.end(), bucket_bounds_s.begin(), bucket_bounds_s.end());
     return out;
 }
 
 auto make_latency_histogram()
 {
-    return hist::make_histogram(hist::axis::variable<double>(axis_edges()));
+    return hist::make_histogram(hist::axis::variable<double>(axis_bounds()));
 }
 
 struct latency
@@ -43,9 +43,9 @@
     decltype(make_latency_histogram()) histogram = make_latency_histogram();
     summary total;
 
-    void add(core::duration after)
+    void add(core::duration elapsed)
     {
-        const double s = static_cast<double>(after.count()) / 1e6;
+        const double s = static_cast<double>(elapsed.count()) / 1e6;
         histogram(s);
         total(s);
     }
@@ -53,11 +53,11 @@
 
 void write_histogram(std::ostream& os, const std::string& name, const std::string& labels, const latency& it)
 {
-    double sum = 0;
-    for (std::size_t n = 0; n < edges.size(); ++n)
+    double cumulative = 0;
+    for (std::size_t n = 0; n < bucket_bounds_s.size(); ++n)
     {
-        sum += static_cast<double>(it.histogram.at(static_cast<int>(n)));
-        os << name << "_bucket{" << labels << ",le=\"" << edges[n] << "\"} " << sum << "\n";
+        cumulative += static_cast<double>(it.histogram.at(static_cast<int>(n)));
+        os << name << "_bucket{" << labels << ",le=\"" << bucket_bounds_s[n] << "\"} " << cumulative << "\n";
     }
     os << name << "_bucket{" << labels << ",le=\"+Inf\"} " << acc::count(it.total) << "\n";
     os << name << "_sum{" << labels << "} " << acc::sum(it.total) << "\n";
@@ -81,7 +81,7 @@
 metrics::metrics() : ticks_{std::make_unique<tick_statistics>()} {}
 metrics::~metrics() = default;
 
-metrics::series& metrics::at(const core::account_id& account, const core::request_class& cls)
+metrics::series& metrics::series_of(const core::account_id& account, const core::request_class& cls)
 {
     auto& it = series_[{account.str(), cls.str()}];
     if (!it)
@@ -90,22 +90,22 @@
 }
 
 void metrics::first_byte(const core::account_id& account, const core::request_class& cls,
-                         core::duration after)
+                         core::duration elapsed)
 {
-    at(account, cls).first_byte.add(after);
+    series_of(account, cls).first_byte.add(elapsed);
 }
 
-void metrics::ended(const core::account_id& account, const core::request_class& cls, core::duration after,
+void metrics::ended(const core::account_id& account, const core::request_class& cls, core::duration elapsed,
                     core::run_outcome outcome)
 {
-    auto& it = at(account, cls);
-    it.total.add(after);
+    auto& it = series_of(account, cls);
+    it.total.add(elapsed);
     ++it.outcomes.at(static_cast<std::size_t>(outcome));
 }
 
-void metrics::tick_took(core::duration it)
+void metrics::tick_took(core::duration elapsed)
 {
-    ticks_->seconds(static_cast<double>(it.count()) / 1e6);
+    ticks_->seconds(static_cast<double>(elapsed.count()) / 1e6);
 }
 
 std::string metrics::text(const std::vector<plain_metric>& plain) const
--- a/src/runlink/observe/observe_test.cpp
+++ b/src/runlink/observe/observe_test.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("each line is one JSON object, whatever its texts hold")
+TEST_CASE("each line is one JSON object, also with quotes and control characters in its values")
 {
     pipe_ends ends;
     decision_log it{ends.fds[1], {}, "a-1", no_wall_clock};
@@ -65,7 +65,7 @@
     CHECK(lines[0].at("instance") == "a-1");
 }
 
-TEST_CASE("routine lines are left out first, and a line tells how many")
+TEST_CASE("routine lines are dropped first, and a line reports how many were dropped")
 {
     pipe_ends ends;
     decision_log it{ends.fds[1], {10, 65536, 1U << 20U}, "a", no_wall_clock};
@@ -83,7 +83,7 @@
     CHECK(lines[15].at("dispatched") == 10);
 }
 
-TEST_CASE("decisions that hold for all requests are written also where failures fill the log")
+TEST_CASE("decisions that affect all requests are logged even if failures exhaust the line rate")
 {
     pipe_ends ends;
     decision_log it{ends.fds[1], {10, 65536, 1U << 20U}, "a", no_wall_clock};
@@ -96,7 +96,7 @@
     CHECK(lines.back().at("event") == "version_found_bad");
 }
 
-TEST_CASE("a reader that does not read costs lines, not time or memory")
+TEST_CASE("a stalled reader causes dropped lines, but no blocking or unbounded memory")
 {
     pipe_ends ends;
     decision_log it{ends.fds[1], {1U << 20U, 32768, 1024}, "a", no_wall_clock};
@@ -107,7 +107,7 @@
     CHECK(it.written() + it.left_out() == 5000);
 }
 
-TEST_CASE("the story of a request is merged from several instances, with what changed meanwhile")
+TEST_CASE("the trace of a request merges several instances and includes their state changes")
 {
     std::istringstream in{
         R"(  1.0 b {"t_ms":2000,"instance":"b","event":"ended","request":"r1","reason":"answered","status":200}
@@ -123,10 +123,10 @@
     CHECK(trace_request(logs, "r1") == "  0 ms a dispatched attempt=1 endpoint=e1\n"
                                        "~ 100 ms a store_lost reason=unavailable\n"
                                        "  500 ms b ended reason=answered status=200\n");
-    CHECK(trace_request(logs, "r9") == "no line names request r9\n");
+    CHECK(trace_request(logs, "r9") == "no log line for request r9\n");
 }
 
-TEST_CASE("a summary counts events by reason and what was left out")
+TEST_CASE("a summary counts events by reason and dropped lines")
 {
     std::istringstream in{R"({"t_ms":1,"instance":"a","event":"refused","request":"r1","reason":"cut_off"}
 {"t_ms":2,"instance":"a","event":"refused","request":"r2","reason":"cut_off"}
