--- a/include/runlink/observe/decision_log.hpp
+++ b/include/runlink/observe/decision_log.hpp
@@ -19,8 +19,7 @@
 {
     routine, ///< dropped first
     notable, ///< failures and state changes
-    vital,   ///< decisions that affect all requests; exempt from the rate limit, dropped only if the reader
-             ///< stalls
+    vital,   ///< decisions that affect all requests; no rate limit applies to them
 };
 
 /// Builds one log line: a JSON object with an event name and further members.
@@ -46,8 +45,8 @@
 struct log_options
 {
     std::uint32_t lines_per_second =
-        400; ///< limit for routine lines; notable lines are admitted up to twice this total
-    std::size_t max_pending_bytes = 256 * 1024; ///< lines that the reader has not accepted yet
+        400; ///< limit for routine lines; twice this for notable ones, counting all lines
+    std::size_t max_pending_bytes = 256 * 1024; ///< not accepted by the reader yet; routine lines use half
     std::size_t flush_bytes = 4096;             ///< buffered bytes at which `write` flushes by itself
 };
 
