--- a/include/runlink/observe/decision_log.hpp
+++ b/include/runlink/observe/decision_log.hpp
@@ -44,8 +44,9 @@
 /// Bounds of the log's rate and memory.
 struct log_options
 {
-    std::uint32_t lines_per_second =
-        400; ///< limit for routine lines; twice this for notable ones, counting all lines
+    /// Routine lines are dropped at this many lines of any rank in a second, notable lines at twice this
+    /// many.
+    std::uint32_t lines_per_second = 400;
     std::size_t max_pending_bytes = 256 * 1024; ///< not accepted by the reader yet; routine lines use half
     std::size_t flush_bytes = 4096;             ///< buffered bytes at which `write` flushes by itself
 };
