--- a/include/runlink/observe/decision_log.hpp
+++ b/include/runlink/observe/decision_log.hpp
@@ -71,7 +71,7 @@
     /// Number of lines accepted into the buffer since the start.
     std::uint64_t written() const { return written_; }
     /// Number of lines dropped since the start.
-    std::uint64_t left_out() const { return dropped_; }
+    std::uint64_t dropped_lines() const { return dropped_; }
 
 private:
     /// Whether the bounds admit a line of this rank; counts the line if so.
--- a/include/runlink/observe/metrics.hpp
+++ b/include/runlink/observe/metrics.hpp
@@ -37,7 +37,7 @@
     void ended(const core::account_id& account, const core::request_class& cls, core::duration elapsed,
                core::run_outcome outcome);
     /// Records the duration of one tick of the router.
-    void tick_took(core::duration elapsed);
+    void record_tick(core::duration elapsed);
 
     /// All recorded metrics and the given ones in the Prometheus text format.
     std::string text(const std::vector<plain_metric>& plain) const;
--- a/src/runlink/app/daemon.cpp
+++ b/src/runlink/app/daemon.cpp
@@ -121,7 +121,7 @@
 {
     const auto begin = clock_();
     instance_->tick(begin);
-    metrics_.tick_took(clock_() - begin);
+    metrics_.record_tick(clock_() - begin);
     if (stopped_ || !instance_->is_stopped(clock_()) || caller_api_.open_count() > 0)
         return;
     stopped_ = true;
--- a/src/runlink/gateway/gateway_daemon_metrics.cpp
+++ b/src/runlink/gateway/gateway_daemon_metrics.cpp
@@ -48,7 +48,7 @@
                 gateway_.pool().totals().opened),
         counter("runlink_connections_reused_total", "Connections to endpoints used again",
                 gateway_.pool().totals().reused),
-        counter("runlink_log_lines_left_out_total", "Log lines without room", log_.left_out()),
+        counter("runlink_log_lines_left_out_total", "Log lines without room", log_.dropped_lines()),
         counter("runlink_cold_sends_total", "Sends to endpoints that were cold", n.cold_sends),
         counter("runlink_without_place_total", "Requests refused since no endpoint may be used now",
                 n.without_place),
--- a/src/runlink/observe/metrics.cpp
+++ b/src/runlink/observe/metrics.cpp
@@ -103,7 +103,7 @@
     ++it.outcomes.at(static_cast<std::size_t>(outcome));
 }
 
-void metrics::tick_took(core::duration elapsed)
+void metrics::record_tick(core::duration elapsed)
 {
     ticks_->seconds(static_cast<double>(elapsed.count()) / 1e6);
 }
--- a/src/runlink/observe/observe_test.cpp
+++ b/src/runlink/observe/observe_test.cpp
@@ -73,7 +73,7 @@
         it.write(start, log_line{"dispatched"});
     for (int n = 0; n < 5; ++n)
         it.write(start, log_line{"failed"}, log_rank::notable);
-    CHECK(it.left_out() == 10);
+    CHECK(it.dropped_lines() == 10);
     it.write(start + core::seconds{1}, log_line{"dispatched"});
     it.flush();
     const auto lines = ends.lines();
@@ -103,8 +103,8 @@
     const auto line = log_line{"dispatched"}.text("pad", std::string(200, 'x'));
     for (int n = 0; n < 5000; ++n)
         it.write(start, line);
-    CHECK(it.left_out() > 3000);
-    CHECK(it.written() + it.left_out() == 5000);
+    CHECK(it.dropped_lines() > 3000);
+    CHECK(it.written() + it.dropped_lines() == 5000);
 }
 
 TEST_CASE("the trace of a request merges several instances and includes their state changes")
