--- a/include/runlink/net/http_codec.hpp
+++ b/include/runlink/net/http_codec.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// HTTP/1.1 messages as bytes: incremental readers for both directions, and writers.
+/// Incremental HTTP/1.1 request and response readers, and functions that serialize messages.
 ///
-/// The readers are Boost.Beast's parser behind plain callbacks. Bytes of a body are handed on as they arrive.
+/// The readers wrap Boost.Beast's parser in callbacks and pass body bytes on as they arrive.
 #pragma once
 
 #include <cstddef>
@@ -16,25 +16,25 @@
 namespace runlink::net
 {
 
-/// One header field, spelled as it was received.
+/// One header field. Name and value keep the spelling in which they were received.
 struct http_field
 {
     std::string name;
     std::string value;
 };
 
-/// Whether two header names are the same; case does not count.
+/// Whether two header field names are equal, ignoring case.
 bool same_name(std::string_view a, std::string_view b);
 
-/// The header fields of one message, in order.
+/// The header fields of one message, in the order in which they were added.
 class http_fields
 {
 public:
     void add(std::string name, std::string value) { all_.push_back({std::move(name), std::move(value)}); }
-    /// The first field of that name, or null.
+    /// Returns the value of the first field with this name, or null.
     const std::string* find(std::string_view name) const;
     std::size_t count(std::string_view name) const;
-    /// Whether a comma-separated field holds the token; case does not count.
+    /// Whether any field with this name contains `token` in its comma-separated list, ignoring case.
     bool has_token(std::string_view name, std::string_view token) const;
 
     auto begin() const { return all_.begin(); }
@@ -44,7 +44,7 @@
     std::vector<http_field> all_;
 };
 
-/// The head of a request.
+/// Request line and header fields of a request.
 struct http_request_head
 {
     std::string method;
@@ -53,15 +53,15 @@
     bool keep_alive = true;
 };
 
-/// How the end of a body is told.
+/// How the end of a response body is determined.
 enum class body_framing
 {
     length,
     chunked,
-    until_close, ///< it ends when the connection is closed in order
+    until_close, ///< the body ends when the peer closes the connection without a reset
 };
 
-/// The head of an answer.
+/// Status line and header fields of a response.
 struct http_response_head
 {
     int status = 0;
@@ -71,7 +71,7 @@
     body_framing framing = body_framing::length;
 };
 
-/// Why bytes were refused.
+/// Why a reader rejected its input.
 enum class codec_error
 {
     none,
@@ -80,21 +80,21 @@
     body_too_large,
 };
 
-/// Bounds on one message.
+/// Size limits of one message.
 struct codec_limits
 {
     std::size_t max_header_bytes = 16 * 1024;
     std::uint64_t max_body_bytes = 4 * 1024 * 1024;
 };
 
-/// Reads requests, one after another. After a request's end it takes no more bytes until `next`, so that a
-/// caller that pipelines waits.
+/// Parses the requests of one connection in sequence. After the end of a request, further bytes are buffered
+/// and not parsed until `next` is called, so that pipelined requests are handled one at a time.
 class http_request_reader
 {
 public:
     struct handlers
     {
-        /// The head is whole; the body follows. Not called for malformed heads.
+        /// Called when the header is complete, before the body. Not called for malformed headers.
         std::function<void(const http_request_head&)> head;
         std::function<void(std::string_view)> body;
         std::function<void()> end;
@@ -104,11 +104,11 @@
     ~http_request_reader();
 
     void set_limits(const codec_limits& limits) { limits_ = limits; }
-    /// Takes bytes and calls the handlers.
+    /// Parses `bytes` and calls the handlers.
     codec_error feed(std::string_view bytes);
-    /// Begins the next request with the bytes that are left over.
+    /// Starts the next request, beginning with the bytes that are already buffered.
     codec_error next();
-    /// Whether bytes of a request have arrived that is not whole yet.
+    /// Whether a request has been received in part.
     bool in_message() const;
 
 private:
@@ -122,7 +122,7 @@
     bool complete_ = false;
 };
 
-/// Reads the answers that arrive on one connection. Interim (1xx) answers are passed over.
+/// Parses the responses that arrive on one connection. Interim (1xx) responses are skipped.
 class http_response_reader
 {
 public:
@@ -137,9 +137,10 @@
     ~http_response_reader();
 
     codec_error feed(std::string_view bytes);
-    /// The peer closed the connection in order: an answer without a length is whole now.
+    /// Call when the peer has closed the connection without a reset. Completes a response whose body extends
+    /// until the close.
     void finish_input();
-    /// Whether a part of an answer has arrived.
+    /// Whether a response has been received in part.
     bool in_message() const;
 
 private:
@@ -152,22 +153,24 @@
     std::string rest_;
 };
 
-/// The head of a request as bytes, with a length when there is a body.
+/// Serializes a request with its body. Adds `Content-Length` when the body is not empty or the method is
+/// POST, PUT or PATCH.
 std::string write_request(const http_request_head& head, std::string_view body);
 
-/// The head of an answer as bytes; framing fields must be among the fields.
+/// Serializes the head of a response. `fields` must include the framing fields (`Content-Length` or
+/// `Transfer-Encoding`).
 std::string write_response_head(int status, std::string_view reason, const http_fields& fields);
 
-/// A whole answer with its length.
+/// Serializes a complete response and adds `Content-Length`.
 std::string write_response(int status, http_fields fields, std::string_view body);
 
-/// One chunk of a chunked body; the last one is empty.
+/// Serializes one chunk of a chunked body. Empty `bytes` give the final chunk.
 std::string write_chunk(std::string_view bytes);
 
-/// The standard reason phrase of a status.
+/// The standard reason phrase of a status code.
 std::string_view reason_of(int status);
 
-/// Whether a field concerns one connection only and is not forwarded.
+/// Whether a proxy must not forward this field, because it is hop-by-hop or sets the body length.
 bool is_hop_by_hop(std::string_view name, const http_fields& fields);
 
 } // namespace runlink::net
--- a/include/runlink/net/http_exchange.hpp
+++ b/include/runlink/net/http_exchange.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Calls over kept connections: one request at a time on each, and a pool of them for each peer.
+/// HTTP client with persistent connections: one request at a time per connection, and a connection pool that
+/// keeps idle connections for each peer.
 #pragma once
 
 #include <chrono>
@@ -20,7 +21,7 @@
 namespace runlink::net
 {
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct peer_address
 {
     std::string host;
@@ -30,42 +31,42 @@
     friend auto operator<=>(const peer_address&, const peer_address&) = default;
 };
 
-/// Why an exchange ended without a whole answer.
+/// Why an exchange ended without a complete response.
 enum class exchange_failure
 {
-    not_connected, ///< the connection did not come up; no byte of the request was sent
-    withheld,      ///< `may_send` said no; no byte of the request was sent
-    reset,         ///< the connection broke after bytes may have been sent
-    closed,        ///< the peer closed in order before its answer was whole
-    malformed,     ///< the peer sent bytes that are no answer
+    not_connected, ///< the connection was not established; no byte of the request was sent
+    withheld,      ///< `may_send` returned false; no byte of the request was sent
+    reset,         ///< the connection failed after request bytes may have been sent
+    closed,        ///< the peer closed the connection without a reset before its response was complete
+    malformed,     ///< the peer sent bytes that are not a valid HTTP response
 };
 
-/// The public name of a failure, for logs.
+/// Name of the failure, as written to logs.
 std::string_view to_string(exchange_failure it);
 
-/// What happens to an exchange. After `end` or `failed` nothing more is called.
+/// Callbacks of one exchange. No callback follows `end` or `failed`.
 struct exchange_hooks
 {
-    /// The connection has come up: whether the request may still leave. Optional.
+    /// Optional. Called when a new connection is established; false cancels the request before it is sent.
     std::function<bool()> may_send;
-    std::function<void()> sent; ///< the connection is up; bytes leave from now on
+    std::function<void()> sent; ///< the request was handed to an established connection
     std::function<void(const http_response_head&)> head;
     std::function<void(std::string_view)> body;
     std::function<void()> end;
     std::function<void(exchange_failure)> failed;
-    /// Whether an answer belongs to this request. One that does not is read and dropped. Optional.
+    /// Optional. Whether a response belongs to this request. One that does not is read and discarded.
     std::function<bool(const http_response_head&)> is_due;
 };
 
-/// How an exchange gets its connection.
+/// Connection timeouts of an exchange.
 struct exchange_options
 {
-    /// Above the way and back also where a slow link is full, below the second after which a lost packet is
-    /// sent again.
+    /// Longer than the round-trip time of a saturated slow link, and shorter than the 1 s after which a lost
+    /// packet is retransmitted.
     core::milliseconds connect_timeout{250};
-    /// Kept connections that have rested for longer are not used.
+    /// Connections that have been idle for this long are not reused.
     core::milliseconds max_rest{1000};
-    /// The kernel gives the connection up when the peer acknowledges nothing for this long.
+    /// The kernel drops the connection when the peer acknowledges nothing for this long.
     core::milliseconds silence_timeout{3000};
 };
 
@@ -77,20 +78,22 @@
     client_connection(const client_connection&) = delete;
     client_connection& operator=(const client_connection&) = delete;
 
-    /// Only connects.
+    /// Connects without sending a request and reports the result to `to`.
     void open(core::milliseconds timeout, std::function<void(core::contact)> to);
     void start(std::string request, const exchange_options& options, exchange_hooks hooks);
-    /// Drops the exchange and the connection; no hook is called.
+    /// Cancels the exchange and closes the connection without calling any hook.
     void abandon();
-    /// Whether it may carry another request after `rest` without one.
+    /// Whether the connection can carry another request: it is open and has been idle for less than
+    /// `max_rest` and half of the peer's keep-alive time.
     bool is_reusable(core::time_point now, core::milliseconds max_rest) const;
-    /// Closes the connection without telling anybody.
+    /// Closes the connection without calling any hook.
     void detach();
     const peer_address& peer() const { return peer_; }
 
-    /// Called when an exchange is over, before its last hook; the connection may be reusable or not.
+    /// Called when an exchange or `open` has ended, before its last callback, whether or not the connection
+    /// is reusable.
     std::function<void()> on_free = [] {};
-    /// Called when the connection became useless while no exchange was under way.
+    /// Called when the connection becomes unusable while no exchange is in progress.
     std::function<void()> on_idle_lost = [] {};
 
 private:
@@ -107,24 +110,25 @@
     QTimer connect_timer_;
     http_response_reader reader_;
     std::unique_ptr<exchange_hooks> hooks_;
-    std::unique_ptr<exchange_hooks> spent_hooks_; ///< of an exchange that was abandoned
-    std::function<void(core::contact)> asked_;
+    /// Hooks of an abandoned exchange, kept because one of them may still be running.
+    std::unique_ptr<exchange_hooks> abandoned_hooks_;
+    std::function<void(core::contact)> on_open_result_;
     std::string request_;
     core::milliseconds silence_timeout_{};
-    core::time_point rested_since_{};
-    core::milliseconds keep_alive_{}; ///< what the peer allows an idle connection
+    core::time_point idle_since_{};
+    core::milliseconds peer_keep_alive_{}; ///< how long the peer keeps an idle connection open
     bool reusable_ = true;
-    bool skipping_ = false; ///< the answer under way is not the one that is due
-    bool ended_ = false;    ///< the answer that is due is whole
+    bool skipping_response_ = false; ///< the response being read belongs to another request
+    bool response_complete_ = false; ///< the response to the current request is complete
 };
 
 using exchange = std::weak_ptr<client_connection>;
 
-/// Kept connections by peer.
+/// Pool of persistent connections, grouped by peer.
 class connection_pool
 {
 public:
-    /// Counters of the pool.
+    /// Number of connections opened and of requests sent on a reused connection.
     struct counters
     {
         std::uint64_t opened = 0;
@@ -135,9 +139,9 @@
 
     exchange send(const peer_address& peer, std::string request, const exchange_options& options,
                   exchange_hooks hooks);
-    /// Opens a connection and keeps it for the next request; tells what became of it.
+    /// Opens a connection, keeps it for the next request and reports the result to `to`.
     void ask(const peer_address& peer, core::milliseconds timeout, std::function<void(core::contact)> to);
-    /// Closes the connections to a peer that rest: another process may listen there now.
+    /// Closes the idle connections to a peer, for when another process may be listening at its address.
     void forget_idle(const peer_address& peer);
     const counters& totals() const { return counters_; }
     std::size_t busy_count() const { return busy_.size(); }
@@ -149,7 +153,8 @@
     connection_ptr open(const peer_address& peer);
     void on_free(const client_connection* it);
     void on_idle_lost(const client_connection* it);
-    /// Destroys the connection later: its socket may be emitting a signal now.
+    /// Closes the connection and destroys it from the event loop, because its socket may be emitting a
+    /// signal.
     void retire(connection_ptr it);
 
     std::map<peer_address, std::vector<connection_ptr>> idle_;
--- a/include/runlink/net/http_framing.hpp
+++ b/include/runlink/net/http_framing.hpp
@@ -10,26 +10,27 @@
 namespace runlink::net
 {
 
-/// Bounds on what a caller may send.
+/// Limits on sizes, connections and timeouts of an HTTP server.
 struct http_bounds
 {
     std::size_t max_header_bytes = 16 * 1024;
     std::size_t max_body_bytes = 4 * 1024 * 1024;
-    std::size_t max_unsent_bytes = 8 * 1024 * 1024; ///< of an answer whose caller reads slowly
+    std::size_t max_unsent_bytes =
+        8 * 1024 * 1024; ///< response bytes buffered for a client that reads slowly
     int max_connections = 4096;
     int header_timeout_ms = 10000;
     int body_timeout_ms = 30000;
     int idle_timeout_ms = 75000;
 };
 
-/// Why a request is refused, as an HTTP status.
+/// HTTP status and reason with which a request is refused.
 struct framing_refusal
 {
     int status = 400;
     const char* reason = "";
 };
 
-/// Follows one connection. It never keeps more than the header.
+/// Tracks the request framing of one connection. Buffers no more than the header.
 class http_framing
 {
 public:
@@ -43,9 +44,9 @@
 
     explicit http_framing(const http_bounds& bounds) : bounds_{bounds} {}
 
-    /// Takes the bytes that have just arrived. Bytes behind the end of a request are refused.
+    /// Processes received bytes. Refuses bytes that follow a request whose response has not ended.
     std::optional<framing_refusal> on_bytes(std::string_view bytes);
-    /// The answer has ended; the next request may come.
+    /// Call when the response has ended, to accept the next request.
     void on_answered();
     state current_state() const { return state_; }
 
@@ -55,7 +56,7 @@
     http_bounds bounds_;
     state state_ = state::idle;
     std::string header_;
-    std::uint64_t body_left_ = 0;
+    std::uint64_t body_bytes_left_ = 0;
 };
 
 } // namespace runlink::net
--- a/include/runlink/net/http_server.hpp
+++ b/include/runlink/net/http_server.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP server with bounds on everything that a caller sends.
+/// HTTP server with limits on the size and the duration of requests.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 /// Header fields in the order in which they are sent.
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// A request as it was received, whole.
+/// A completely received request.
 struct http_request
 {
     std::string method;
@@ -37,7 +37,7 @@
     std::string query_value(const char* name) const;
 };
 
-/// One request and its answer. Answers to a caller that has left go nowhere.
+/// One request and its response. Response data for a client that has disconnected is discarded.
 class http_exchange
 {
 public:
@@ -47,16 +47,16 @@
     http_exchange& operator=(const http_exchange&) = delete;
 
     const http_request& request() const { return request_; }
-    /// Called once when the caller closes its connection before the answer has ended.
+    /// Sets a handler that is called once if the client disconnects before the response has ended.
     void on_left(std::function<void()> handler);
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     void send(int status, const header_list& headers, const std::string& body);
-    /// Starts an answer that is sent in chunks.
+    /// Starts a chunked response.
     void begin(int status, const header_list& headers);
     void chunk(const std::string& bytes);
     void end();
-    /// Breaks an answer off so that the caller can tell that it is not whole.
+    /// Closes the connection without the final chunk, so that the client can detect the incomplete response.
     void abort();
     bool has_begun() const { return begun_; }
     bool is_open() const { return responder_ != nullptr && !socket_.isNull(); }
@@ -68,22 +68,22 @@
     http_request request_;
     std::unique_ptr<QHttpServerResponder> responder_;
     QPointer<guarded_socket> socket_;
-    QMetaObject::Connection left_;
+    QMetaObject::Connection disconnect_handler_;
     bool begun_ = false;
 };
 
 using http_handler = std::function<void(std::shared_ptr<http_exchange>)>;
 
-/// Listens on one address and hands every well-formed request to the handler.
+/// Listens on one address and passes every well-formed request to the handler.
 class http_server : public QAbstractHttpServer
 {
 public:
     http_server(http_bounds bounds, http_handler handler);
 
-    /// Fails with `settings_invalid` where the address cannot be used.
+    /// Returns the port. Fails with `settings_invalid` if the address cannot be used.
     core::result<std::uint16_t> listen(const std::string& host, std::uint16_t port);
     std::size_t connection_count() const { return listener_.connection_count(); }
-    /// Requests refused for their framing, size or slowness.
+    /// Number of requests refused because of framing, size or a timeout.
     std::uint64_t refused_count() const { return listener_.refused_count(); }
 
 protected:
--- a/src/runlink/net/http_codec.cpp
+++ b/src/runlink/net/http_codec.cpp
@@ -44,7 +44,7 @@
     return codec_error::malformed;
 }
 
-/// A line that continues the one before, in the head: two parsers may read it differently.
+/// Whether the header contains a folded line (obs-fold). Parsers may interpret such a line differently.
 bool has_folded_line(std::string_view bytes)
 {
     const auto end = bytes.find("\r\n\r\n");
@@ -52,7 +52,7 @@
     return head.find("\r\n ") != std::string_view::npos || head.find("\r\n\t") != std::string_view::npos;
 }
 
-/// What both parsers share: fields and a body that is handed on.
+/// Base of the request and response parsers: collects header fields and passes body bytes to a callback.
 template <bool IsRequest>
 class callback_parser : public http::basic_parser<IsRequest>
 {
@@ -137,9 +137,9 @@
     {
         const auto* encoding = fields.find("Transfer-Encoding");
         const auto* length = fields.find("Content-Length");
-        const bool is_odd_length =
+        const bool is_non_numeric_length =
             length != nullptr && length->find_first_not_of("0123456789") != std::string::npos;
-        const bool ambiguous = is_odd_length || fields.count("Content-Length") > 1 ||
+        const bool ambiguous = is_non_numeric_length || fields.count("Content-Length") > 1 ||
                                fields.count("Transfer-Encoding") > 1 || fields.count("Host") > 1 ||
                                (encoding != nullptr && !same_name(*encoding, "chunked")) ||
                                (encoding != nullptr && fields.count("Content-Length") > 0);
@@ -207,7 +207,7 @@
     return codec_error::none;
 }
 
-// Answers
+// Responses
 
 struct http_response_reader::parser : callback_parser<false>
 {
@@ -257,7 +257,8 @@
             parser_ = std::make_unique<parser>();
             parser_->eager(true);
             parser_->header_limit(max_response_header_bytes);
-            parser_->body_limit(std::numeric_limits<std::uint64_t>::max()); // the receiver bounds it
+            parser_->body_limit(
+                std::numeric_limits<std::uint64_t>::max()); // the receiver of the body limits its size
             parser_->on_head = handlers_.head;
             parser_->body = handlers_.body;
         }
--- a/src/runlink/net/http_codec_test.cpp
+++ b/src/runlink/net/http_codec_test.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read whole however its bytes are cut")
+TEST_CASE("a request is parsed the same however its bytes are split")
 {
     const std::string bytes =
         "POST /a?b=c HTTP/1.1\r\nHost: h\r\nX-Mixed: v\r\nContent-Length: 5\r\n\r\nhello";
@@ -50,7 +50,7 @@
     }
 }
 
-TEST_CASE("a pipelined request waits until the one before is answered")
+TEST_CASE("a pipelined request waits until the previous one is answered")
 {
     read_request it;
     REQUIRE(it.reader.feed("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n") ==
@@ -61,7 +61,7 @@
     CHECK(it.heads[1].target == "/2");
 }
 
-TEST_CASE("what two parsers could read differently is refused")
+TEST_CASE("requests that parsers could interpret differently are refused")
 {
     const std::string line = "POST / HTTP/1.1\r\nHost: h\r\n";
     CHECK(feed_request(line + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na") == codec_error::malformed);
@@ -83,7 +83,7 @@
     CHECK(feed_request(line + "Content-Length: 2\r\n\r\nab") == codec_error::none);
 }
 
-TEST_CASE("bounds on head and body hold")
+TEST_CASE("size limits of header and body are enforced")
 {
     read_request it;
     it.reader.set_limits({64, 8});
@@ -95,7 +95,7 @@
           codec_error::body_too_large);
 }
 
-TEST_CASE("an answer without a length is whole only when the connection was closed in order")
+TEST_CASE("a response without a length is complete only after a close without reset")
 {
     read_response it;
     REQUIRE(it.reader.feed("HTTP/1.1 200 OK\r\n\r\nabc") == codec_error::none);
@@ -107,7 +107,7 @@
     CHECK(it.body == "abc");
 }
 
-TEST_CASE("a cut answer with a length does not end")
+TEST_CASE("a truncated response with a length does not end")
 {
     read_response it;
     REQUIRE(it.reader.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc") == codec_error::none);
@@ -115,7 +115,7 @@
     CHECK(it.ends == 0);
 }
 
-TEST_CASE("interim answers are passed over")
+TEST_CASE("interim responses are skipped")
 {
     read_response it;
     REQUIRE(it.reader.feed("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n") ==
@@ -125,7 +125,7 @@
     CHECK(it.ends == 1);
 }
 
-TEST_CASE("a large answer is not bounded by the reader")
+TEST_CASE("the reader does not limit the size of a response")
 {
     read_response it;
     const std::string body(9 * 1024 * 1024, 'x');
@@ -134,7 +134,7 @@
     CHECK(it.ends == 1);
 }
 
-TEST_CASE("fields of one connection are not forwarded")
+TEST_CASE("hop-by-hop fields are not forwarded")
 {
     http_fields fields;
     fields.add("Connection", "close, X-Hop");
@@ -144,7 +144,7 @@
     CHECK_FALSE(is_hop_by_hop("X-Other", fields));
 }
 
-TEST_CASE("events are cut byte for byte, and a partial one is kept back")
+TEST_CASE("events are split without changing a byte, and a partial event is held back")
 {
     const std::string bytes = "id: 1\r\ndata: a\r\n\r\nx-versions: 2\nid: 12\ndata: b\n\nid: 13\ndata: part";
     for (std::size_t cut = 0; cut < bytes.size(); ++cut)
--- a/src/runlink/net/http_exchange.cpp
+++ b/src/runlink/net/http_exchange.cpp
@@ -9,10 +9,11 @@
 namespace
 {
 
-/// Used where a peer does not say how long an idle connection lives: shorter than common servers keep one.
+/// Assumed when a peer sends no keep-alive timeout; shorter than the timeout of common servers.
 constexpr core::milliseconds default_keep_alive{4000};
-/// The part of a peer's keep-alive time in which a connection is used; the rest covers delay on the way.
-constexpr int usable_part = 2;
+/// A connection is reused only within this fraction (1/n) of the peer's keep-alive time. The remainder covers
+/// network delay.
+constexpr int keep_alive_divisor = 2;
 
 core::milliseconds keep_alive_of(const http_response_head& head)
 {
@@ -51,7 +52,7 @@
       reader_{{[this](const http_response_head& it) { on_head(it); },
                [this](std::string_view it)
                {
-                   if (hooks_ && !skipping_ && !ended_)
+                   if (hooks_ && !skipping_response_ && !response_complete_)
                        hooks_->body(it);
                },
                [this] { on_end(); }}}
@@ -70,8 +71,8 @@
 void client_connection::start(std::string request, const exchange_options& options, exchange_hooks hooks)
 {
     hooks_ = std::make_unique<exchange_hooks>(std::move(hooks));
-    skipping_ = false;
-    ended_ = false;
+    skipping_response_ = false;
+    response_complete_ = false;
     if (stream_.is_open())
     {
         stream_.write(request);
@@ -86,7 +87,7 @@
 
 void client_connection::open(core::milliseconds timeout, std::function<void(core::contact)> to)
 {
-    asked_ = std::move(to);
+    on_open_result_ = std::move(to);
     const bool began = stream_.connect(peer_.host, peer_.port);
     connect_timer_.start(began ? timeout : core::milliseconds{0});
 }
@@ -94,12 +95,12 @@
 void client_connection::on_connected()
 {
     connect_timer_.stop();
-    if (asked_)
+    if (on_open_result_)
     {
         const auto guard = shared_from_this();
-        rested_since_ = core::runtime_clock::now();
-        keep_alive_ = default_keep_alive;
-        const auto to = std::exchange(asked_, nullptr);
+        idle_since_ = core::runtime_clock::now();
+        peer_keep_alive_ = default_keep_alive;
+        const auto to = std::exchange(on_open_result_, nullptr);
         on_free();
         return to(core::contact::answered);
     }
@@ -119,7 +120,7 @@
     const auto guard = shared_from_this();
     if (!hooks_)
     {
-        // Bytes that answer no request: the connection is out of step.
+        // Bytes without a pending request: responses no longer match requests on this connection.
         reusable_ = false;
         on_idle_lost();
         return;
@@ -127,51 +128,51 @@
     const auto ec = reader_.feed(bytes);
     if (!hooks_)
         return;
-    if (ec != codec_error::none && !ended_)
+    if (ec != codec_error::none && !response_complete_)
         return fail(exchange_failure::malformed);
-    // Anything behind the answer that was due makes the connection useless.
+    // Bytes after the complete response make the connection unusable for further requests.
     if (ec != codec_error::none || reader_.in_message())
-        reusable_ = reusable_ && !ended_;
-    if (ended_)
+        reusable_ = reusable_ && !response_complete_;
+    if (response_complete_)
         finish();
 }
 
 void client_connection::finish()
 {
     const auto hooks = std::exchange(hooks_, nullptr);
-    rested_since_ = core::runtime_clock::now();
+    idle_since_ = core::runtime_clock::now();
     on_free();
     hooks->end();
 }
 
 void client_connection::on_head(const http_response_head& it)
 {
-    if (!hooks_ || ended_)
+    if (!hooks_ || response_complete_)
     {
         reusable_ = false;
-        skipping_ = true;
+        skipping_response_ = true;
         return;
     }
-    skipping_ = hooks_->is_due && !hooks_->is_due(it);
-    keep_alive_ = keep_alive_of(it);
-    if (skipping_ || !it.keep_alive || it.framing == body_framing::until_close)
+    skipping_response_ = hooks_->is_due && !hooks_->is_due(it);
+    peer_keep_alive_ = keep_alive_of(it);
+    if (skipping_response_ || !it.keep_alive || it.framing == body_framing::until_close)
         reusable_ = false;
-    if (!skipping_)
+    if (!skipping_response_)
         hooks_->head(it);
 }
 
 void client_connection::on_end()
 {
-    if (!skipping_)
-        ended_ = true;
-    skipping_ = false;
+    if (!skipping_response_)
+        response_complete_ = true;
+    skipping_response_ = false;
 }
 
 void client_connection::on_ended(stream_end how)
 {
     const auto guard = shared_from_this();
     reusable_ = false;
-    if (!hooks_ && !asked_)
+    if (!hooks_ && !on_open_result_)
         return on_idle_lost();
     if (how == stream_end::not_connected)
         return fail(exchange_failure::not_connected);
@@ -179,7 +180,7 @@
         reader_.finish_input();
     if (!hooks_)
         return;
-    if (ended_)
+    if (response_complete_)
         return finish();
     fail(how == stream_end::closed ? exchange_failure::closed : exchange_failure::reset);
 }
@@ -191,7 +192,7 @@
     reusable_ = false;
     detach();
     on_free();
-    if (const auto to = std::exchange(asked_, nullptr))
+    if (const auto to = std::exchange(on_open_result_, nullptr))
         to(stream_.was_refused() ? core::contact::refused : core::contact::silent);
     if (hooks)
         hooks->failed(why);
@@ -199,14 +200,15 @@
 
 void client_connection::abandon()
 {
-    spent_hooks_ = std::move(hooks_); // nobody is told; one of them may be running now
+    abandoned_hooks_ = std::move(hooks_); // no hook is called; they are kept because one may be running
     fail(exchange_failure::reset);
 }
 
 bool client_connection::is_reusable(core::time_point now, core::milliseconds max_rest) const
 {
-    const auto rested = now - rested_since_;
-    return reusable_ && stream_.is_open() && rested < std::min(max_rest, keep_alive_ / usable_part);
+    const auto idle_time = now - idle_since_;
+    return reusable_ && stream_.is_open() &&
+           idle_time < std::min(max_rest, peer_keep_alive_ / keep_alive_divisor);
 }
 
 void client_connection::detach()
@@ -246,7 +248,7 @@
     auto& all = found->second;
     while (!all.empty())
     {
-        // The one that rested least is the least likely to have been closed by the peer.
+        // The most recently used connection is the least likely to have been closed by the peer.
         auto it = std::move(all.back());
         all.pop_back();
         if (it->is_reusable(now, max_rest))
--- a/src/runlink/net/http_exchange_test.cpp
+++ b/src/runlink/net/http_exchange_test.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// A peer that sends scripted bytes for each request that arrives.
+/// A TCP peer that counts connections, records received bytes and sends the bytes that a test gives.
 class raw_peer
 {
 public:
@@ -41,7 +41,7 @@
 
     peer_address address() const { return {"127.0.0.1", server_.serverPort()}; }
     void send(const std::string& bytes) { socket->write(bytes.data(), static_cast<qint64>(bytes.size())); }
-    /// Ends the connection with a reset.
+    /// Closes the connection with a TCP reset.
     void reset()
     {
         socket->flush();
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("a request that may not be sent any more when its connection has come up sends no byte")
+TEST_CASE("a request that is cancelled when its connection is established sends no byte")
 {
     raw_peer peer;
     connection_pool pool;
@@ -100,7 +100,7 @@
     CHECK(pool.busy_count() == 0);
 }
 
-TEST_CASE("an answer without a length that is reset in transit is a failure, one that is closed is whole")
+TEST_CASE("a response without a length fails on a reset and is complete on a close")
 {
     raw_peer peer;
     connection_pool pool;
@@ -125,7 +125,7 @@
     CHECK(whole.body == "all");
 }
 
-TEST_CASE("a connection that does not come up leaves the request unsent")
+TEST_CASE("a request is not sent when its connection is not established")
 {
     QTcpServer closed;
     closed.listen(QHostAddress::LocalHost, 0);
@@ -144,7 +144,7 @@
     CHECK(bad.failure == exchange_failure::not_connected);
 }
 
-TEST_CASE("a connection is used again, but not with surplus bytes behind an answer")
+TEST_CASE("a connection is reused, but not after surplus bytes behind a response")
 {
     raw_peer peer;
     connection_pool pool;
@@ -173,7 +173,7 @@
     CHECK(peer.connections == 2);
 }
 
-TEST_CASE("a late answer of an earlier request is passed over")
+TEST_CASE("a late response to an earlier request is skipped")
 {
     raw_peer peer;
     connection_pool pool;
@@ -191,7 +191,7 @@
     CHECK(it.body == "new");
 }
 
-TEST_CASE("bytes that are no answer are a failure")
+TEST_CASE("bytes that are not a valid response are a failure")
 {
     raw_peer peer;
     connection_pool pool;
@@ -202,7 +202,7 @@
     CHECK(it.failure == exchange_failure::malformed);
 }
 
-TEST_CASE("an abandoned exchange closes its connection and says nothing, also from within a hook")
+TEST_CASE("an abandoned exchange closes its connection and calls no hook, also when abandoned from a hook")
 {
     raw_peer peer;
     connection_pool pool;
@@ -218,7 +218,7 @@
     CHECK(pool.busy_count() == 0);
 }
 
-TEST_CASE("a caller that leaves is told of, one that pipelines is answered in order")
+TEST_CASE("a client that disconnects is reported, and pipelined requests are answered in order")
 {
     std::vector<std::string> targets;
     std::shared_ptr<caller_connection> last;
@@ -245,7 +245,7 @@
     CHECK(wait_for([&] { return listener.connection_count() == 0; }));
 }
 
-TEST_CASE("a connection that outlives its listener is reset and reports to nobody")
+TEST_CASE("a connection that outlives its listener is reset and calls no handler")
 {
     std::shared_ptr<caller_connection> kept;
     auto listener = std::make_unique<http_listener>([&](const auto& from, const auto&, const std::string&)
@@ -262,7 +262,7 @@
     CHECK_FALSE(kept->is_open());
 }
 
-TEST_CASE("a stop closes no connection whose request nobody has read yet")
+TEST_CASE("closing idle connections spares those with an unread request")
 {
     int requests = 0;
     http_listener listener{[&](const auto&, const auto&, const auto&) { ++requests; },
@@ -276,7 +276,7 @@
     CHECK(wait_for([&] { return requests == 1; }));
 }
 
-TEST_CASE("the kernel is told to probe a connection that rests, and for how long it may stay silent")
+TEST_CASE("setting the silence timeout enables keep-alive probes on the socket and stores the timeout")
 {
     raw_peer peer;
     tcp_stream it{{}};
--- a/src/runlink/net/http_framing.cpp
+++ b/src/runlink/net/http_framing.cpp
@@ -37,7 +37,7 @@
     return out;
 }
 
-/// Calls `visit` with the name and the value of each field; stops at the first refusal.
+/// Calls `visit` with the lowercase name and the trimmed value of each field. Stops at the first refusal.
 template <class Visit>
 std::optional<framing_refusal> each_field(std::string_view header, Visit visit)
 {
@@ -69,10 +69,10 @@
             return framing_refusal{400, "a second request before the answer"};
         if (state_ == state::body)
         {
-            const auto n = std::min<std::uint64_t>(body_left_, bytes.size());
-            body_left_ -= n;
+            const auto n = std::min<std::uint64_t>(body_bytes_left_, bytes.size());
+            body_bytes_left_ -= n;
             bytes.remove_prefix(n);
-            if (body_left_ == 0)
+            if (body_bytes_left_ == 0)
                 state_ = state::running;
             continue;
         }
@@ -118,8 +118,8 @@
     if (const auto refusal = each_field(header_, visit))
         return refusal;
     header_.clear();
-    body_left_ = length.value_or(0);
-    state_ = body_left_ > 0 ? state::body : state::running;
+    body_bytes_left_ = length.value_or(0);
+    state_ = body_bytes_left_ > 0 ? state::body : state::running;
     return std::nullopt;
 }
 
--- a/src/runlink/net/http_framing_test.cpp
+++ b/src/runlink/net/http_framing_test.cpp
@@ -15,7 +15,7 @@
     return it;
 }
 
-/// The refusal's status, fed whole and byte by byte; 0 where it is taken.
+/// Feeds the request at once and byte by byte. Returns the status of the refusal, or 0 if it is accepted.
 int status_of(const std::string& bytes)
 {
     http_framing whole{small_bounds()};
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("well-formed requests are taken, one after the other")
+TEST_CASE("well-formed requests are accepted one after another")
 {
     CHECK(status_of("GET / HTTP/1.1\r\n\r\n") == 0);
     CHECK(status_of(post("Content-Length: 3", "abc")) == 0);
@@ -48,7 +48,7 @@
     CHECK_FALSE(it.on_bytes("GET / HTTP/1.1\r\n\r\n"));
 }
 
-TEST_CASE("lengths that contradict, are negative, overlong or malformed are refused")
+TEST_CASE("conflicting, negative, overlong and malformed lengths are refused")
 {
     CHECK(status_of(post("Content-Length: -5")) == 400);
     CHECK(status_of(post("Content-Length: 18446744073709551617")) == 400);
@@ -62,7 +62,7 @@
     CHECK(status_of(post("content-length: 3\r\nTRANSFER-ENCODING: chunked")) == 411);
 }
 
-TEST_CASE("bodies, headers and requests in a row are bounded")
+TEST_CASE("oversized bodies and headers and pipelined requests are refused")
 {
     CHECK(status_of(post("Content-Length: 101")) == 413);
     CHECK(status_of(post("X: " + std::string(2000, 'x'))) == 431);
--- a/src/runlink/net/http_server.cpp
+++ b/src/runlink/net/http_server.cpp
@@ -67,7 +67,7 @@
 
 http_exchange::~http_exchange()
 {
-    QObject::disconnect(left_);
+    QObject::disconnect(disconnect_handler_);
     if (is_open())
         abort();
 }
@@ -76,14 +76,14 @@
 {
     if (!is_open())
         return;
-    left_ = QObject::connect(socket_, &QTcpSocket::disconnected, socket_,
-                             [this, handler = std::move(handler)]
-                             {
-                                 const auto call = handler;
-                                 QObject::disconnect(left_);
-                                 responder_.reset();
-                                 call();
-                             });
+    disconnect_handler_ = QObject::connect(socket_, &QTcpSocket::disconnected, socket_,
+                                           [this, handler = std::move(handler)]
+                                           {
+                                               const auto call = handler;
+                                               QObject::disconnect(disconnect_handler_);
+                                               responder_.reset();
+                                               call();
+                                           });
 }
 
 void http_exchange::write_head(int status, const header_list& headers)
@@ -139,7 +139,7 @@
 
 void http_exchange::finish()
 {
-    QObject::disconnect(left_);
+    QObject::disconnect(disconnect_handler_);
     responder_.reset();
     socket_->answered();
 }
@@ -148,7 +148,7 @@
 {
     if (!is_open())
         return;
-    // The chunk that would end the answer is missing, and the connection closes behind what was written.
+    // Closes the connection after the written bytes, without the final chunk of the response.
     const auto socket = socket_;
     socket->disconnectFromHost();
 }
@@ -169,7 +169,7 @@
 
 bool http_server::handleRequest(const QHttpServerRequest& request, QTcpSocket* socket)
 {
-    auto* guarded = static_cast<guarded_socket*>(socket); // the listener makes no others
+    auto* guarded = static_cast<guarded_socket*>(socket); // the listener creates only guarded sockets
     handler_(std::make_shared<http_exchange>(copy_of(request), makeResponder(request, socket), guarded));
     return true;
 }
--- a/src/runlink/net/http_test.cpp
+++ b/src/runlink/net/http_test.cpp
@@ -43,7 +43,7 @@
     }
 };
 
-/// A server that counts whole requests and does with each what the test says.
+/// A server that counts complete requests and passes each to a function given by the test.
 class raw_server
 {
 public:
@@ -87,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE("a call on a server that closes without an answer is sent once, on new and on used connections")
+TEST_CASE("a call to a server that closes without a response is sent once, on new and on reused connections")
 {
     int answers = 1;
     raw_server server{[&](QTcpSocket* socket)
@@ -109,7 +109,7 @@
     CHECK(server.runs == 4);
 }
 
-TEST_CASE("a call that finds nobody listening has not sent its body")
+TEST_CASE("a call to a port without a listener does not send its body")
 {
     std::uint16_t port = 0;
     {
@@ -125,7 +125,7 @@
     CHECK_FALSE(it.result.body_sent);
 }
 
-TEST_CASE("answers that break off are not complete")
+TEST_CASE("truncated responses are not complete")
 {
     for (const char* answer : {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"})
@@ -144,7 +144,7 @@
     }
 }
 
-TEST_CASE("more than six calls to a host run side by side")
+TEST_CASE("more than six calls to a host run concurrently")
 {
     std::vector<std::shared_ptr<http_exchange>> held;
     http_server server{{}, [&](const std::shared_ptr<http_exchange>& it) { held.push_back(it); }};
@@ -162,7 +162,7 @@
     CHECK(client.running() == 0);
 }
 
-TEST_CASE("requests arrive whole, streamed answers too, and cancelling is seen by the server")
+TEST_CASE("requests and streamed responses arrive complete, and the server detects cancellation")
 {
     std::shared_ptr<http_exchange> last;
     bool left = false;
@@ -208,7 +208,7 @@
     last->send(200, {}, "late");
 }
 
-TEST_CASE("an answer that is broken off can be told from a whole one")
+TEST_CASE("an aborted response can be distinguished from a complete one")
 {
     http_server server{{},
                        [&](const std::shared_ptr<http_exchange>& it)
@@ -225,7 +225,7 @@
     CHECK_FALSE(it.result.complete);
 }
 
-TEST_CASE("the server refuses bad framing before its handler, and slow senders in time")
+TEST_CASE("the server refuses bad framing before calling its handler, and disconnects slow senders")
 {
     http_bounds bounds;
     bounds.max_body_bytes = 1000;
@@ -256,7 +256,7 @@
     CHECK(run_until([&] { return server.connection_count() == 0; }));
 }
 
-TEST_CASE("a second request before the answer does not harm the first and is not run")
+TEST_CASE("a second request before the response is not handled and leaves the first intact")
 {
     std::shared_ptr<http_exchange> first;
     int handled = 0;
@@ -278,7 +278,7 @@
     CHECK(handled == 1);
 }
 
-TEST_CASE("connections beyond the bound are refused")
+TEST_CASE("connections beyond the limit are refused")
 {
     http_bounds bounds;
     bounds.max_connections = 1;
