--- a/include/runlink/net/event_reader.hpp
+++ b/include/runlink/net/event_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cuts a stream of server-sent events into whole events, byte for byte.
+/// Splits a stream of server-sent events into complete events without changing their bytes.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 namespace runlink::net
 {
 
-/// Holds the bytes of an event until its blank line has come.
+/// Buffers the bytes of an event until the blank line that ends the event has arrived.
 class event_reader
 {
 public:
@@ -19,18 +19,19 @@
 
     explicit event_reader(visitor visit) : visit_{std::move(visit)} {}
 
-    /// Returns false where an event is longer than the bound.
+    /// Calls the visitor for each event that `bytes` completes. Returns false if the incomplete event at the
+    /// end exceeds 1 MiB.
     bool feed(std::string_view bytes);
-    /// Bytes of an event that is not whole.
-    const std::string& rest() const { return rest_; }
+    /// Bytes of the event that is still incomplete.
+    const std::string& rest() const { return incomplete_event_; }
 
 private:
     visitor visit_;
-    std::string rest_;
-    std::size_t searched_ = 0;
+    std::string incomplete_event_;
+    std::size_t search_position_ = 0;
 };
 
-/// The `id` field of an event, if it is a number.
+/// The value of the first `id` field of an event, or nothing if there is none or it is not a number.
 std::optional<std::uint64_t> event_id_of(std::string_view event);
 
 } // namespace runlink::net
--- a/include/runlink/net/guarded_socket.hpp
+++ b/include/runlink/net/guarded_socket.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sockets that refuse bad requests before the HTTP server sees them.
+/// Sockets that reject malformed or oversized requests before the HTTP server reads them.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,21 @@
 namespace runlink::net
 {
 
-/// A caller's connection. Its own read slot is connected first, so that it runs before the HTTP server's.
+/// A connection from a caller. The constructor connects to `readyRead` before the HTTP server does, so the
+/// checks run before the server's own slot.
 class guarded_socket : public QTcpSocket
 {
 public:
     guarded_socket(const http_bounds& bounds, std::function<void()> on_refused);
 
     const http_bounds& bounds() const { return bounds_; }
-    /// The answer has been written; closes a connection that has sent more than one request at once.
+    /// Must be called when the response has been written. Closes the connection if the caller sent a second
+    /// request before the response.
     void answered();
 
 private:
-    void check_arrived();
-    void refuse(const framing_refusal& it);
+    void check_received_bytes();
+    void refuse(const framing_refusal& refusal);
     void restart_timer();
 
     http_bounds bounds_;
@@ -36,7 +38,7 @@
     bool closing_ = false;
 };
 
-/// Accepts connections up to the bound.
+/// Accepts up to `max_connections` connections and answers further ones with 503.
 class guarded_listener : public QTcpServer
 {
 public:
--- a/include/runlink/net/http_client.hpp
+++ b/include/runlink/net/http_client.hpp
@@ -18,38 +18,38 @@
 namespace runlink::net
 {
 
-/// A call on another server.
+/// A request to another server.
 struct http_call
 {
     std::string method = "GET";
-    std::string host; ///< IP number
+    std::string host; ///< IP address
     std::uint16_t port = 0;
-    std::string path; ///< with the query
+    std::string path; ///< including the query
     header_list headers;
     std::string body;
-    int idle_timeout_ms = 0; ///< without any byte; 0: none
+    int idle_timeout_ms = 0; ///< longest time without any byte transferred; 0: no timeout
 };
 
-/// The head of an answer.
+/// Status and header fields of a response.
 struct http_answer_head
 {
-    int status = 0; ///< 0 where no answer has begun
+    int status = 0; ///< 0 if no response has begun
     std::string content_type;
     header_list headers;
 
-    /// Empty where there is none.
+    /// Value of the first header field of this name, ignoring case; empty if there is none.
     std::string header(const std::string& name) const;
 };
 
-/// How a call ended.
+/// Outcome of a call.
 struct http_result : http_answer_head
 {
-    bool complete = false; ///< the whole answer has arrived
-    bool body_sent = true; ///< false only where no byte of the request's body was handed out
-    std::string error;     ///< the library's text, for logs
+    bool complete = false; ///< the whole response has arrived
+    bool body_sent = true; ///< false only if the request has a body and the library has read none of it
+    std::string error;     ///< Qt's error text, for logs
 };
 
-/// What a call reports. Bytes come in order; `done` comes last and once.
+/// Callbacks of a call. `bytes` receives the body in order; `done` is called once, after all others.
 struct http_call_hooks
 {
     std::function<void(const http_answer_head&)> head;
@@ -57,12 +57,12 @@
     std::function<void(const http_result&)> done;
 };
 
-/// A handle on a running call.
 class http_client;
+/// Identifies a running call.
 using call_handle = std::uint64_t;
 
-/// Runs calls side by side. The library opens six connections to a host at most, so that a manager is
-/// added whenever all of them have six calls to a host.
+/// Runs calls concurrently. A QNetworkAccessManager opens at most six connections to a host, so the client
+/// adds a manager when each existing one already has six calls to that host.
 class http_client
 {
 public:
@@ -70,8 +70,8 @@
     ~http_client();
 
     call_handle start(const http_call& it, http_call_hooks hooks);
-    /// Breaks a call off; nothing more is reported of it.
-    void cancel(call_handle it);
+    /// Aborts a call; none of its callbacks is called any more.
+    void cancel(call_handle id);
     std::size_t running() const { return calls_.size(); }
     std::size_t manager_count() const { return managers_.size(); }
 
@@ -79,7 +79,7 @@
     struct manager
     {
         QNetworkAccessManager access;
-        std::map<std::string, int> running; ///< by host and port
+        std::map<std::string, int> running; ///< number of calls, by `host:port`
     };
     struct call;
 
@@ -90,10 +90,10 @@
 
     std::vector<std::unique_ptr<manager>> managers_;
     std::map<call_handle, std::unique_ptr<call>> calls_;
-    call_handle next_ = 1;
+    call_handle next_handle_ = 1;
 };
 
-/// Runs a call and collects the whole body.
+/// Runs a call and passes the result and the collected body to `done`.
 void fetch(http_client& client, const http_call& it,
            std::function<void(const http_result&, std::string body)> done);
 
--- a/include/runlink/net/http_listener.hpp
+++ b/include/runlink/net/http_listener.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Connections of callers: requests come in one at a time on each, answers go out as they are made.
+/// HTTP connections from callers. Each connection handles one request at a time; responses are streamed.
 #pragma once
 
 #include <chrono>
@@ -21,7 +21,7 @@
 namespace runlink::net
 {
 
-/// Bounds on what callers may send and how long they may take.
+/// Limits on the size of requests and on the time that callers may take.
 struct listener_limits
 {
     codec_limits message;
@@ -29,16 +29,17 @@
     core::milliseconds idle_timeout{15000};
 };
 
-/// One connection of a caller.
+/// One connection from a caller.
 class caller_connection : public std::enable_shared_from_this<caller_connection>
 {
 public:
-    /// What a connection reports.
+    /// Callbacks of a connection.
     struct handlers
     {
         std::function<void(const std::shared_ptr<caller_connection>&, const http_request_head&, std::string)>
             request;
-        /// The bytes are no request; the handler answers and the connection ends.
+        /// The received bytes are not a valid request. The handler must send an error response and close the
+        /// connection.
         std::function<void(const std::shared_ptr<caller_connection>&, codec_error)> bad_request;
         std::function<void(const caller_connection*)> closed;
     };
@@ -48,27 +49,29 @@
     caller_connection(const caller_connection&) = delete;
     caller_connection& operator=(const caller_connection&) = delete;
 
-    /// Sends bytes of an answer.
+    /// Sends bytes of a response.
     void write(std::string_view bytes);
-    /// The answer is whole. With `close` the connection ends once it is sent.
+    /// Marks the response as complete. With `close`, or if the request does not allow keep-alive, the
+    /// connection closes once all bytes are sent.
     void finish(bool close);
-    /// Ends the connection at once, so that nothing looks complete.
+    /// Aborts the connection at once, so that the caller cannot take a partial response for a complete one.
     void reset();
 
     bool wants_close() const { return !head_.keep_alive; }
-    /// Whether a request waits for its answer.
+    /// Whether a request is waiting for its response.
     bool is_busy() const { return busy_; }
-    /// Whether no byte of a request has arrived since the last answer.
+    /// Whether no byte of a request has been read since the last response.
     bool is_idle() const { return !busy_ && !reader_.in_message(); }
     bool is_open() const { return !closed_; }
     std::size_t unsent_bytes() const;
-    /// Called when the caller went away while its request was waiting.
+    /// Called when the caller disconnects while its request is waiting for the response.
     std::function<void()> on_left;
-    /// Closes or refuses what took too long.
+    /// Reports an unfinished request as malformed after `header_timeout` without new bytes, and closes an
+    /// idle connection after `idle_timeout`.
     void check_timeouts(core::time_point now, const listener_limits& limits);
-    /// The listener is gone: the connection ends and reports nothing more.
-    void leave_listener();
-    /// Ends a connection on which nothing is under way.
+    /// Aborts the connection and drops its handlers, because the listener is being destroyed.
+    void detach_from_listener();
+    /// Closes the connection if it has no request in progress and no unread bytes.
     void close_if_idle();
 
 private:
@@ -102,7 +105,8 @@
     http_listener(const http_listener&) = delete;
     http_listener& operator=(const http_listener&) = delete;
 
-    /// Port 0 takes a free one. Returns the port.
+    /// Returns the port; port 0 picks a free one. Fails with `settings_invalid` if the address cannot be
+    /// used.
     core::result<std::uint16_t> listen(const std::string& host, std::uint16_t port);
     void set_limits(const listener_limits& limits) { limits_ = limits; }
     void check_timeouts();
@@ -111,7 +115,8 @@
 
 private:
     void accept_all();
-    void retire(const caller_connection* it);
+    /// Removes a closed connection and destroys it from the event loop, as the connection may be the caller.
+    void retire(const caller_connection* connection);
 
     request_handler on_request_;
     bad_request_handler on_bad_request_;
--- a/include/runlink/net/peer_link.hpp
+++ b/include/runlink/net/peer_link.hpp
@@ -17,8 +17,8 @@
 namespace runlink::net
 {
 
-/// Receives on one address and sends to any. Messages are lost where a peer cannot take them; whoever needs
-/// an answer sends again.
+/// Receives on one address and sends to any address. Delivery is best effort: a message is dropped if it
+/// cannot be queued for the peer. Senders that need a reply must retry.
 class peer_link
 {
 public:
@@ -26,9 +26,10 @@
 
     explicit peer_link(handler on_message);
 
-    /// Fails with `settings_invalid` where the address cannot be used.
+    /// Starts receiving on `address` (`host:port`). Fails with `settings_invalid` if it cannot be bound.
     core::result<void> bind(const std::string& address);
-    void send(const std::string& address, const core::peer_envelope& it);
+    /// Queues a message without blocking. A message that cannot be queued counts in `dropped_messages`.
+    void send(const std::string& address, const core::peer_envelope& message);
 
     std::uint64_t sent_bytes() const { return sent_bytes_; }
     std::uint64_t received_bytes() const { return received_bytes_; }
@@ -36,8 +37,8 @@
     std::uint64_t dropped_messages() const { return dropped_messages_; }
 
 private:
-    zmq::socket_t& socket_to(const std::string& address);
-    void drain();
+    zmq::socket_t& sender_for(const std::string& address);
+    void receive_all();
 
     handler on_message_;
     zmq::context_t context_{1};
--- a/include/runlink/net/store_client.hpp
+++ b/include/runlink/net/store_client.hpp
@@ -1,10 +1,16 @@
 /// \file
-/// Client of the platform's key-value service.
+/// HTTP client of the platform's key-value service.
 ///
-/// The protocol: `GET /v1/kv/<key>` answers 200 with the value and its revision in `ETag`, or 404.
-/// `PUT /v1/kv/<key>` with `If-None-Match: *` or `If-Match: "<revision>"` answers 200 with the new revision
-/// in `ETag`, or 412. `GET` with `?after=<revision>&wait_ms=<n>` answers when the revision is larger, or 304.
-/// `DELETE /v1/kv/<key>` answers 204. Only 404, 412 and 304 say what they say; all else is an outage.
+/// - `GET /v1/kv/<key>` returns 200 with the value and its revision in `ETag`, or 404 if the key is absent.
+/// - `GET /v1/kv/<key>?after=<revision>&wait_ms=<n>` is a long poll: it returns 200 as soon as the revision
+/// is
+///   larger than `after`, or 304 when the wait is over.
+/// - `PUT /v1/kv/<key>` with `If-None-Match: *` or `If-Match: "<revision>"` returns 200 with the new revision
+/// in
+///   `ETag`, or 412 if the condition does not hold.
+/// - `DELETE /v1/kv/<key>` returns 204.
+///
+/// Reads and writes treat any other status, and an incomplete response, as an outage.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +22,7 @@
 namespace runlink::net
 {
 
-/// Where the service is.
+/// Address of the service, and how long a call may go without receiving a byte.
 struct store_address
 {
     std::string host;
@@ -24,7 +30,7 @@
     int timeout_ms = 2000;
 };
 
-/// A store port that speaks the protocol through a client. The client must outlive the port.
+/// Creates a store port that calls the service through `client`, which must outlive the port.
 core::store_port make_store_port(http_client& client, const store_address& address);
 
 } // namespace runlink::net
--- a/include/runlink/net/tcp_stream.hpp
+++ b/include/runlink/net/tcp_stream.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// A TCP connection to a peer on Qt's event loop.
+/// An outgoing TCP connection on Qt's event loop.
 ///
-/// QTcpSocket reports a connection that was reset like one that was closed in order; an answer without a
-/// length is whole only in the second case. This class keeps the two apart.
+/// QTcpSocket does not distinguish a reset connection from one that the peer closed in order, but a response
+/// without a length is complete only in the second case. This class reports the two separately.
 #pragma once
 
 #include <cstdint>
@@ -23,8 +23,8 @@
 enum class stream_end
 {
     not_connected,
-    closed, ///< the peer closed in order
-    reset,  ///< anything else
+    closed, ///< the peer closed the connection in order (FIN)
+    reset,  ///< any other end of an established connection
 };
 
 /// Owns one socket. Handlers are called from the event loop only, never from within a call.
@@ -35,7 +35,7 @@
     {
         std::function<void()> connected;
         std::function<void(std::string_view)> bytes;
-        /// Called once; not after `abort`.
+        /// Called once; never after `abort`.
         std::function<void(stream_end)> ended;
     };
 
@@ -44,28 +44,30 @@
     tcp_stream(const tcp_stream&) = delete;
     tcp_stream& operator=(const tcp_stream&) = delete;
 
-    /// Returns false where no connection can be begun; nothing is called then.
+    /// Starts to connect to an IPv4 address. Returns false if this fails at once; no handler is called then.
     bool connect(const std::string& host, std::uint16_t port);
-    /// Looks whether the connection has come up meanwhile; a process that was held up may not have been told.
+    /// Returns whether the connection is established, without waiting for the event loop: a process that was
+    /// stalled may not have received the notification yet.
     bool finish_connect();
-    /// Sends bytes now or when the peer takes them.
+    /// Sends bytes at once, or buffers them until the socket is writable.
     void write(std::string_view bytes);
-    /// Ends the connection at once; no handler is called any more.
+    /// Closes the connection at once; no handler is called any more.
     void abort();
-    /// Whether the last attempt to connect was refused: the peer's machine is there, and nothing listens.
+    /// Whether the last attempt to connect was refused: the host is reachable, but nothing listens on the
+    /// port.
     bool was_refused() const { return was_refused_; }
     bool is_open() const { return fd_ >= 0 && connected_; }
-    /// The kernel gives up when the peer acknowledges nothing for this long, sent bytes or the probes that it
-    /// sends while the connection rests: a connection may go silent for good without a reset, also while this
-    /// side only waits for an answer.
-    void set_silence_timeout(core::milliseconds it);
-    /// The time that the kernel has in force, with its probes on; nothing where they are off.
+    /// Makes the kernel drop the connection when the peer acknowledges neither sent bytes nor keep-alive
+    /// probes for this long. A connection may die without a reset, also while this side only waits for a
+    /// response.
+    void set_silence_timeout(core::milliseconds timeout);
+    /// The timeout set in the kernel; nothing if keep-alive probes are off.
     std::optional<core::milliseconds> silence_timeout() const;
 
 private:
     void on_writable();
-    /// Reads how the attempt to connect ended; returns whether the connection is up.
-    bool take_connect_result();
+    /// Reads and clears the pending socket error; returns whether the attempt to connect succeeded.
+    bool read_connect_result();
     void on_readable();
     void flush();
     void end(stream_end how);
@@ -78,7 +80,7 @@
     std::unique_ptr<QSocketNotifier> readable_;
     std::unique_ptr<QSocketNotifier> writable_;
     /// Set to true when the object is destroyed or aborted while a handler runs.
-    std::shared_ptr<bool> gone_ = std::make_shared<bool>(false);
+    std::shared_ptr<bool> invalidated_ = std::make_shared<bool>(false);
 };
 
 } // namespace runlink::net
--- a/src/runlink/net/event_reader.cpp
+++ b/src/runlink/net/event_reader.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_event_bytes = 1024 * 1024;
 
-/// The end of the first whole event at or behind `from`, or npos.
+/// Returns the position after the blank line that ends the first complete event at or after `from`, or npos.
 std::size_t event_end(std::string_view bytes, std::size_t from)
 {
     for (auto at = bytes.find('\n', from); at != std::string_view::npos; at = bytes.find('\n', at + 1))
@@ -28,22 +28,25 @@
 
 bool event_reader::feed(std::string_view bytes)
 {
-    rest_.append(bytes);
+    incomplete_event_.append(bytes);
     std::size_t begin = 0;
     while (true)
     {
-        const auto end = event_end(rest_, std::max(begin, searched_));
+        const auto end = event_end(incomplete_event_, std::max(begin, search_position_));
         if (end == std::string::npos)
             break;
-        const auto event = std::string_view{rest_}.substr(begin, end - begin);
+        const auto event = std::string_view{incomplete_event_}.substr(begin, end - begin);
         begin = end;
-        searched_ = end;
+        search_position_ = end;
         visit_(event, event_id_of(event));
     }
-    rest_.erase(0, begin);
-    constexpr std::size_t longest_end = 2; // bytes of an unfinished blank line
-    searched_ = rest_.size() > longest_end ? rest_.size() - longest_end : 0;
-    return rest_.size() <= max_event_bytes;
+    incomplete_event_.erase(0, begin);
+    // A blank line may be split between two calls: the search resumes before its possible first bytes.
+    constexpr std::size_t max_partial_end_bytes = 2;
+    search_position_ = incomplete_event_.size() > max_partial_end_bytes
+                           ? incomplete_event_.size() - max_partial_end_bytes
+                           : 0;
+    return incomplete_event_.size() <= max_event_bytes;
 }
 
 std::optional<std::uint64_t> event_id_of(std::string_view event)
--- a/src/runlink/net/guarded_socket.cpp
+++ b/src/runlink/net/guarded_socket.cpp
@@ -9,10 +9,10 @@
 
 constexpr int request_timeout_status = 408;
 constexpr int unavailable_status = 503;
-/// How long the bytes behind a refused request are read and thrown away.
+/// How long the connection stays open after a refusal to read and discard further bytes.
 constexpr int linger_ms = 500;
 
-QByteArray refusal_answer(const framing_refusal& it)
+QByteArray refusal_response(const framing_refusal& it)
 {
     const QByteArray body = QByteArray{R"({"error":{"code":")"} +
                             (it.status == 413 ? "body_too_large" : "malformed_request") + R"(","message":")" +
@@ -36,11 +36,11 @@
                     return disconnectFromHost();
                 refuse({request_timeout_status, "the request took too long"});
             });
-    connect(this, &QTcpSocket::readyRead, this, [this] { check_arrived(); });
+    connect(this, &QTcpSocket::readyRead, this, [this] { check_received_bytes(); });
     restart_timer();
 }
 
-void guarded_socket::check_arrived()
+void guarded_socket::check_received_bytes()
 {
     if (closing_)
         return;
@@ -48,7 +48,7 @@
     const QByteArray buf = peek(bytesAvailable());
     if (before == http_framing::state::running)
     {
-        // A second request before the answer: the first is answered, then the connection is closed.
+        // Pipelining is not supported: the first request gets its response, then the connection closes.
         closing_ = true;
         disconnect(this, &QTcpSocket::readyRead, nullptr, nullptr);
         return;
@@ -59,13 +59,13 @@
         restart_timer();
 }
 
-void guarded_socket::refuse(const framing_refusal& it)
+void guarded_socket::refuse(const framing_refusal& refusal)
 {
     closing_ = true;
     on_refused_();
     disconnect(this, &QTcpSocket::readyRead, nullptr, nullptr);
-    write(refusal_answer(it));
-    // Closing on bytes that were not read would reset the connection and take the answer with it.
+    write(refusal_response(refusal));
+    // Closing a socket with unread bytes resets the connection, and the caller may lose the response.
     connect(this, &QTcpSocket::readyRead, this, [this] { readAll(); });
     readAll();
     timer_.disconnect();
@@ -106,7 +106,7 @@
     if (connections_ >= static_cast<std::size_t>(bounds_.max_connections))
     {
         ++refused_;
-        socket->write(refusal_answer({unavailable_status, "too many connections"}));
+        socket->write(refusal_response({unavailable_status, "too many connections"}));
         socket->disconnectFromHost();
         connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
         return;
--- a/src/runlink/net/http_client.cpp
+++ b/src/runlink/net/http_client.cpp
@@ -15,12 +15,12 @@
 constexpr int calls_per_host = 6;
 constexpr int last_network_error = 99;
 
-/// A body that cannot be rewound. The library sends a request again when a server closes the connection
-/// without an answer, unless it has no way to read the body a second time.
-class one_way_body : public QIODevice
+/// A request body that can be read only once. Qt resends a request when the server closes the connection
+/// without a response, unless the body cannot be read a second time.
+class single_read_body : public QIODevice
 {
 public:
-    explicit one_way_body(std::string data) : data_{std::move(data)} { open(QIODevice::ReadOnly); }
+    explicit single_read_body(std::string data) : data_{std::move(data)} { open(QIODevice::ReadOnly); }
 
     bool isSequential() const override { return true; }
     qint64 bytesAvailable() const override
@@ -28,7 +28,7 @@
         return static_cast<qint64>(data_.size() - position_) + QIODevice::bytesAvailable();
     }
     bool atEnd() const override { return position_ == data_.size(); }
-    bool touched() const { return position_ > 0; }
+    bool was_read() const { return position_ > 0; }
 
 protected:
     qint64 readData(char* to, qint64 max) override
@@ -85,9 +85,9 @@
     manager* owner = nullptr;
     std::string host;
     http_call_hooks hooks;
-    std::unique_ptr<one_way_body> body;
+    std::unique_ptr<single_read_body> body;
     QNetworkReply* reply = nullptr;
-    bool head_told = false;
+    bool head_reported = false;
 };
 
 std::string http_answer_head::header(const std::string& name) const
@@ -118,7 +118,7 @@
 
 call_handle http_client::start(const http_call& it, http_call_hooks hooks)
 {
-    const auto id = next_++;
+    const auto id = next_handle_++;
     auto owned = std::make_unique<call>();
     auto& c = *owned;
     calls_.emplace(id, std::move(owned));
@@ -131,7 +131,7 @@
     if (it.method == "POST" || it.method == "PUT")
     {
         request.setHeader(QNetworkRequest::ContentLengthHeader, static_cast<qulonglong>(it.body.size()));
-        c.body = std::make_unique<one_way_body>(it.body);
+        c.body = std::make_unique<single_read_body>(it.body);
     }
     c.reply = c.owner->access.sendCustomRequest(request, verb, c.body.get());
     QObject::connect(c.reply, &QNetworkReply::readyRead, c.reply, [this, id] { on_ready(id); });
@@ -146,9 +146,9 @@
         return;
     auto& it = *found->second;
     const int status = it.reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    if (!it.head_told && status != 0)
+    if (!it.head_reported && status != 0)
     {
-        it.head_told = true;
+        it.head_reported = true;
         if (it.hooks.head)
             it.hooks.head(head_of(*it.reply));
         if (!calls_.contains(id))
@@ -169,9 +169,9 @@
     http_result out;
     static_cast<http_answer_head&>(out) = head_of(*it->reply);
     const auto error = static_cast<int>(it->reply->error());
-    const bool resend = it->reply->error() == QNetworkReply::ContentReSendError;
-    out.complete = out.status != 0 && !resend && (error == 0 || error > last_network_error);
-    out.body_sent = it->body == nullptr || it->body->touched();
+    const bool resend_refused = it->reply->error() == QNetworkReply::ContentReSendError;
+    out.complete = out.status != 0 && !resend_refused && (error == 0 || error > last_network_error);
+    out.body_sent = it->body == nullptr || it->body->was_read();
     out.error = it->reply->errorString().toStdString();
     release(*it);
     it->hooks.done(out);
@@ -181,7 +181,7 @@
 {
     --it.owner->running[it.host];
     it.reply->deleteLater();
-    // The reply may still read the body until it is deleted.
+    // The reply may read the body until the reply itself is deleted.
     if (it.body)
         it.body.release()->setParent(it.reply);
 }
--- a/src/runlink/net/http_listener.cpp
+++ b/src/runlink/net/http_listener.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Connections that wait to be accepted: a burst of callers, or all of a failed neighbour's.
+/// Room for a burst of new connections, such as all callers of a failed instance reconnecting at once.
 constexpr int listen_backlog = 512;
 constexpr qint64 read_buffer_bytes = 256 * 1024;
 
@@ -50,10 +50,10 @@
 
 void caller_connection::on_readable()
 {
-    // Bytes behind a request stay in the bounded buffer of the socket until it is answered.
+    // Bytes after a request stay in the socket's bounded buffer until the request has its response.
     if (busy_)
         return;
-    const auto guard = shared_from_this();
+    const auto self = shared_from_this();
     last_activity_ = core::runtime_clock::now();
     const auto bytes = socket_->readAll();
     if (ending_)
@@ -88,7 +88,7 @@
     last_activity_ = core::runtime_clock::now();
     if (close || !head_.keep_alive)
         return end_after_flush();
-    const auto guard = shared_from_this();
+    const auto self = shared_from_this();
     on_result(reader_.next());
     if (!busy_ && !closed_ && socket_->bytesAvailable() > 0)
         on_readable();
@@ -108,7 +108,7 @@
         socket_->abort();
 }
 
-void caller_connection::leave_listener()
+void caller_connection::detach_from_listener()
 {
     handlers_.request = [](const auto&, const auto&, const auto&) {};
     handlers_.bad_request = [](const auto&, codec_error) {};
@@ -120,7 +120,7 @@
 {
     if (std::exchange(closed_, true))
         return;
-    const auto guard = shared_from_this();
+    const auto self = shared_from_this();
     const auto left = std::exchange(on_left, nullptr);
     busy_ = false;
     handlers_.closed(this);
@@ -132,19 +132,19 @@
 {
     if (busy_ || closed_ || ending_)
         return;
-    const auto rested = now - last_activity_;
-    if (reader_.in_message() && rested >= limits.header_timeout)
+    const auto idle_time = now - last_activity_;
+    if (reader_.in_message() && idle_time >= limits.header_timeout)
         return on_result(codec_error::malformed);
-    if (rested >= limits.idle_timeout)
+    if (idle_time >= limits.idle_timeout)
         end_after_flush();
 }
 
 bool caller_connection::has_unread_bytes() const
 {
-    // Bytes that came since the event loop last looked are in the kernel only.
+    // Bytes that arrived since the event loop last polled are still in the kernel's buffer.
     int waiting = 0;
-    const bool is_told = ::ioctl(static_cast<int>(socket_->socketDescriptor()), FIONREAD, &waiting) == 0;
-    return socket_->bytesAvailable() > 0 || (is_told && waiting > 0);
+    const bool is_known = ::ioctl(static_cast<int>(socket_->socketDescriptor()), FIONREAD, &waiting) == 0;
+    return socket_->bytesAvailable() > 0 || (is_known && waiting > 0);
 }
 
 void caller_connection::close_if_idle()
@@ -168,10 +168,10 @@
 
 http_listener::~http_listener()
 {
-    // Whoever holds a connection may keep it for longer than this.
+    // Other holders of the shared pointers may keep connections alive after the listener is destroyed.
     const auto all = std::exchange(connections_, {});
     for (const auto& [key, it] : all)
-        it->leave_listener();
+        it->detach_from_listener();
 }
 
 core::result<std::uint16_t> http_listener::listen(const std::string& host, std::uint16_t port)
@@ -197,9 +197,9 @@
     }
 }
 
-void http_listener::retire(const caller_connection* it)
+void http_listener::retire(const caller_connection* connection)
 {
-    const auto found = connections_.find(it);
+    const auto found = connections_.find(connection);
     if (found == connections_.end())
         return;
     retired_.push_back(std::move(found->second));
--- a/src/runlink/net/peer_link.cpp
+++ b/src/runlink/net/peer_link.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr int queue_length = 1000;
+constexpr int max_queued_messages = 1000;
 constexpr int heartbeat_interval_ms = 1000;
 constexpr int heartbeat_timeout_ms = 3000;
 constexpr std::int64_t max_message_bytes = 8 * 1024 * 1024;
@@ -18,7 +18,7 @@
     : on_message_{std::move(on_message)}, receiver_{context_, zmq::socket_type::pull}
 {
     receiver_.set(zmq::sockopt::linger, 0);
-    receiver_.set(zmq::sockopt::rcvhwm, queue_length);
+    receiver_.set(zmq::sockopt::rcvhwm, max_queued_messages);
     receiver_.set(zmq::sockopt::maxmsgsize, max_message_bytes);
 }
 
@@ -34,32 +34,33 @@
     }
     const auto fd = receiver_.get(zmq::sockopt::fd);
     notifier_ = std::make_unique<QSocketNotifier>(fd, QSocketNotifier::Read);
-    QObject::connect(notifier_.get(), &QSocketNotifier::activated, notifier_.get(), [this] { drain(); });
-    drain();
+    QObject::connect(notifier_.get(), &QSocketNotifier::activated, notifier_.get(),
+                     [this] { receive_all(); });
+    receive_all();
     return boost::outcome_v2::success();
 }
 
-void peer_link::drain()
+void peer_link::receive_all()
 {
-    // The descriptor tells of changes only: read until there is nothing left.
+    // The ZeroMQ descriptor is edge-triggered: read until the queue is empty, or no further event follows.
     zmq::message_t message;
     while (receiver_.recv(message, zmq::recv_flags::dontwait))
     {
         received_bytes_ += message.size();
-        const auto it = proto::decode(message.to_string_view());
-        if (it)
-            on_message_(it.value());
+        const auto envelope = proto::decode(message.to_string_view());
+        if (envelope)
+            on_message_(envelope.value());
     }
 }
 
-zmq::socket_t& peer_link::socket_to(const std::string& address)
+zmq::socket_t& peer_link::sender_for(const std::string& address)
 {
     const auto found = senders_.find(address);
     if (found != senders_.end())
         return found->second;
     zmq::socket_t it{context_, zmq::socket_type::push};
     it.set(zmq::sockopt::linger, 0);
-    it.set(zmq::sockopt::sndhwm, queue_length);
+    it.set(zmq::sockopt::sndhwm, max_queued_messages);
     it.set(zmq::sockopt::immediate, true);
     it.set(zmq::sockopt::heartbeat_ivl, heartbeat_interval_ms);
     it.set(zmq::sockopt::heartbeat_timeout, heartbeat_timeout_ms);
@@ -67,12 +68,12 @@
     return senders_.emplace(address, std::move(it)).first->second;
 }
 
-void peer_link::send(const std::string& address, const core::peer_envelope& it)
+void peer_link::send(const std::string& address, const core::peer_envelope& message)
 {
-    const auto bytes = proto::encode(it);
+    const auto bytes = proto::encode(message);
     try
     {
-        auto& socket = socket_to(address);
+        auto& socket = sender_for(address);
         if (!socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait))
         {
             ++dropped_messages_;
--- a/src/runlink/net/peer_link_test.cpp
+++ b/src/runlink/net/peer_link_test.cpp
@@ -50,7 +50,7 @@
         CHECK(*(first + n) == std::to_string(n));
 }
 
-TEST_CASE("messages to nobody are dropped, and an address in use is a failure")
+TEST_CASE("messages to an unreachable address are dropped, and binding an address in use fails")
 {
     net::peer_link a{[](const core::peer_envelope&) {}};
     const auto address = free_address();
--- a/src/runlink/net/store_client.cpp
+++ b/src/runlink/net/store_client.cpp
@@ -24,15 +24,15 @@
     return out;
 }
 
-http_call call_of(const store_address& to, const char* method, const std::string& key)
+http_call call_of(const store_address& address, const char* method, const std::string& key)
 {
-    http_call it;
-    it.method = method;
-    it.host = to.host;
-    it.port = to.port;
-    it.path = "/v1/kv/" + key;
-    it.idle_timeout_ms = to.timeout_ms;
-    return it;
+    http_call call;
+    call.method = method;
+    call.host = address.host;
+    call.port = address.port;
+    call.path = "/v1/kv/" + key;
+    call.idle_timeout_ms = address.timeout_ms;
+    return call;
 }
 
 core::result<core::store_value> read_result(const http_result& it, std::string body, const std::string& key)
--- a/src/runlink/net/tcp_stream.cpp
+++ b/src/runlink/net/tcp_stream.cpp
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr std::size_t read_bytes = 64 * 1024;
+constexpr std::size_t read_buffer_bytes = 64 * 1024;
 
-/// Between two probes of a connection that rests, in seconds, the kernel's least unit for it.
+/// Time between keep-alive probes of an idle connection; one second is the kernel's smallest unit for it.
 constexpr int probe_interval_s = 1;
 
 bool would_block(int error)
@@ -40,7 +40,7 @@
     if (fd_ < 0)
         return false;
     const int on = 1;
-    // Without the option small requests may wait for acknowledgements; they still arrive.
+    // Failure is harmless: small requests may then be delayed until earlier bytes are acknowledged.
     (void)setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     const auto* address = reinterpret_cast<const sockaddr*>(&to);
     if (::connect(fd_, address, sizeof to) != 0 && errno != EINPROGRESS)
@@ -59,16 +59,16 @@
     return true;
 }
 
-void tcp_stream::set_silence_timeout(core::milliseconds it)
+void tcp_stream::set_silence_timeout(core::milliseconds timeout)
 {
-    const auto ms = static_cast<unsigned>(it.count());
+    const auto ms = static_cast<unsigned>(timeout.count());
     const int on = 1;
     const auto set = [this](int level, int name, const auto& value)
     {
-        // Without the options a silent peer is noticed by the caller's own timeouts.
+        // Failure is harmless: the user's own timeouts then detect a peer that no longer responds.
         (void)setsockopt(fd_, level, name, &value, sizeof value);
     };
-    set(IPPROTO_TCP, TCP_USER_TIMEOUT, ms); // goes before the count of probes
+    set(IPPROTO_TCP, TCP_USER_TIMEOUT, ms); // takes precedence over the number of probes
     set(IPPROTO_TCP, TCP_KEEPIDLE, probe_interval_s);
     set(IPPROTO_TCP, TCP_KEEPINTVL, probe_interval_s);
     set(SOL_SOCKET, SO_KEEPALIVE, on);
@@ -76,11 +76,11 @@
 
 std::optional<core::milliseconds> tcp_stream::silence_timeout() const
 {
-    int probes = 0;
+    int probes_on = 0;
     unsigned ms = 0;
-    socklen_t probes_size = sizeof probes;
+    socklen_t probes_size = sizeof probes_on;
     socklen_t ms_size = sizeof ms;
-    if (getsockopt(fd_, SOL_SOCKET, SO_KEEPALIVE, &probes, &probes_size) != 0 || probes == 0 ||
+    if (getsockopt(fd_, SOL_SOCKET, SO_KEEPALIVE, &probes_on, &probes_size) != 0 || probes_on == 0 ||
         getsockopt(fd_, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, &ms_size) != 0)
         return std::nullopt;
     return core::milliseconds{ms};
@@ -93,14 +93,14 @@
         return false;
     if ((it.revents & (POLLERR | POLLHUP)) != 0)
     {
-        take_connect_result();
+        read_connect_result();
         return false;
     }
     on_writable();
     return true;
 }
 
-bool tcp_stream::take_connect_result()
+bool tcp_stream::read_connect_result()
 {
     int error = 0;
     socklen_t size = sizeof error;
@@ -113,14 +113,14 @@
 {
     if (connected_)
         return flush();
-    if (!take_connect_result())
+    if (!read_connect_result())
         return end(stream_end::not_connected);
     connected_ = true;
     writable_->setEnabled(false);
     readable_->setEnabled(true);
-    const auto gone = gone_;
+    const auto invalidated = invalidated_;
     handlers_.connected();
-    if (!*gone && !unsent_.empty())
+    if (!*invalidated && !unsent_.empty())
         flush();
 }
 
@@ -140,7 +140,7 @@
     {
         const auto n = send(fd_, unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
         if (n < 0)
-            break; // a broken connection is told by the read side
+            break; // the read side reports a broken connection
         unsent_.erase(0, static_cast<std::size_t>(n));
     }
     writable_->setEnabled(!unsent_.empty() && would_block(errno));
@@ -148,7 +148,7 @@
 
 void tcp_stream::on_readable()
 {
-    std::array<char, read_bytes> buf; // NOLINT(cppcoreguidelines-pro-type-member-init): filled by recv
+    std::array<char, read_buffer_bytes> buf; // NOLINT(cppcoreguidelines-pro-type-member-init): filled by recv
     const auto n = recv(fd_, buf.data(), buf.size(), 0);
     if (n > 0)
         return handlers_.bytes({buf.data(), static_cast<std::size_t>(n)});
@@ -166,11 +166,11 @@
 
 void tcp_stream::abort()
 {
-    *gone_ = true;
-    gone_ = std::make_shared<bool>(false);
+    *invalidated_ = true;
+    invalidated_ = std::make_shared<bool>(false);
     if (fd_ < 0)
         return;
-    // A notifier may be calling us: it is destroyed by the event loop.
+    // This call may come from a notifier, so the event loop deletes the notifiers later.
     for (auto* it : {&readable_, &writable_})
     {
         (*it)->setEnabled(false);
