--- a/include/runlink/net/http_listener.hpp
+++ b/include/runlink/net/http_listener.hpp
@@ -115,7 +115,8 @@
 
 private:
     void accept_all();
-    /// Removes a closed connection and destroys it from the event loop, as the connection may be the caller.
+    /// Removes a closed connection. The event loop destroys the connection later, because one of its own
+    /// functions may be running.
     void retire(const caller_connection* connection);
 
     request_handler on_request_;
--- a/include/runlink/net/tcp_stream.hpp
+++ b/include/runlink/net/tcp_stream.hpp
@@ -27,7 +27,7 @@
     reset,  ///< any other end of an established connection
 };
 
-/// Owns one socket. Handlers are called from the event loop only, never from within a call.
+/// Owns one socket. Handlers are called from the event loop; only `finish_connect` may call them directly.
 class tcp_stream
 {
 public:
@@ -46,8 +46,8 @@
 
     /// Starts to connect to an IPv4 address. Returns false if this fails at once; no handler is called then.
     bool connect(const std::string& host, std::uint16_t port);
-    /// Returns whether the connection is established, without waiting for the event loop: a process that was
-    /// stalled may not have received the notification yet.
+    /// Completes a pending attempt to connect without waiting for the event loop, which may be late in a
+    /// stalled process. Returns false if the attempt failed or is still pending.
     bool finish_connect();
     /// Sends bytes at once, or buffers them until the socket is writable.
     void write(std::string_view bytes);
--- a/src/runlink/net/guarded_socket.cpp
+++ b/src/runlink/net/guarded_socket.cpp
@@ -9,7 +9,7 @@
 
 constexpr int request_timeout_status = 408;
 constexpr int unavailable_status = 503;
-/// How long the connection stays open after a refusal to read and discard further bytes.
+/// After a refusal, further bytes are read and discarded for this long before the connection closes.
 constexpr int linger_ms = 500;
 
 QByteArray refusal_response(const framing_refusal& it)
--- a/src/runlink/net/tcp_stream.cpp
+++ b/src/runlink/net/tcp_stream.cpp
@@ -65,7 +65,7 @@
     const int on = 1;
     const auto set = [this](int level, int name, const auto& value)
     {
-        // Failure is harmless: the user's own timeouts then detect a peer that no longer responds.
+        // Failure is harmless: the timeouts of the stream's owner then detect a peer that no longer responds.
         (void)setsockopt(fd_, level, name, &value, sizeof value);
     };
     set(IPPROTO_TCP, TCP_USER_TIMEOUT, ms); // takes precedence over the number of probes
