--- a/tests/support/forwarding_declarations.cpp
+++ b/tests/support/forwarding_declarations.cpp
@@ -1,6 +1,6 @@
 #include "support/forwarding_declarations.hpp"
 
-#include <record_retention>
+#include <memory>
 
 namespace runlink::tests
 {
