--- a/tests/support/fake_store.cpp
+++ b/tests/support/fake_store.cpp
@@ -33,10 +33,10 @@
 void fake_store::put_now(const std::string& key, const std::string& data)
 {
     values_[key] = {data, ++revision_};
-    wake(key);
+    notify_watches(key);
 }
 
-void fake_store::wake(const std::string& key)
+void fake_store::notify_watches(const std::string& key)
 {
     if (drop_watches)
         return;
@@ -44,10 +44,10 @@
     std::erase_if(watches_,
                   [&](const auto& it)
                   {
-                      const bool wakes = it.second.key == key && values_[key].revision > it.second.after;
-                      if (wakes)
+                      const bool matches = it.second.key == key && values_[key].revision > it.second.after;
+                      if (matches)
                           ready.push_back(it.second);
-                      return wakes;
+                      return matches;
                   });
     for (auto& it : ready)
         it.on_owner(latency, [handler = it.handler, value = values_[key]] { handler(value); });
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The key-value service in memory, for tests on a paused clock.
+/// In-memory key-value store for tests on a manual clock.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,22 @@
 namespace runlink::tests
 {
 
-/// Runs an action after a delay, unless its owner has died by then.
+/// Runs an action after a delay, unless its owner has been killed by then.
 using schedule_function = std::function<void(core::duration, std::function<void()>)>;
 
-/// Values with revisions, and the failures that the platform's service has.
+/// Key-value store with revisions that simulates the failures of the platform's store.
 class fake_store
 {
 public:
     core::duration latency = core::milliseconds{2};
-    core::duration outage_delay = core::milliseconds{50}; ///< until a failed call is given up
+    core::duration outage_delay = core::milliseconds{50}; ///< time until a failed call reports its error
     bool down = false;
-    int lose_write_replies = 0;
+    int lose_write_replies = 0; ///< number of writes that take effect without a reply
     bool drop_watches = false;
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
 
-    /// Access for one owner; calls made before its death still take effect.
+    /// Store access for one owner. Calls made before the owner is killed still take effect.
     core::store_port port(schedule_function on_owner);
     const std::map<std::string, core::store_value>& values() const { return values_; }
     void put_now(const std::string& key, const std::string& data);
@@ -44,7 +44,7 @@
     core::result<core::store_value> read(const std::string& key) const;
     core::result<std::uint64_t> write(const std::string& key, const std::string& data,
                                       core::store_condition condition);
-    void wake(const std::string& key);
+    void notify_watches(const std::string& key);
 
     std::map<std::string, core::store_value> values_;
     std::map<std::uint64_t, waiting_watch> watches_;
--- a/tests/support/fake_world.cpp
+++ b/tests/support/fake_world.cpp
@@ -47,8 +47,8 @@
 fake_world::fake_world(std::vector<std::string> names, std::uint64_t seed) : seed_{seed}
 {
     for (const auto& name : names)
-        lives_[name].address = "10.0.0." + std::to_string(lives_.size() + 1) + ":7100";
-    for (auto& [name, unused] : lives_)
+        slots_[name].address = "10.0.0." + std::to_string(slots_.size() + 1) + ":7100";
+    for (auto& [name, unused] : slots_)
         start(name);
 }
 
@@ -57,7 +57,7 @@
 std::vector<std::string> fake_world::names() const
 {
     std::vector<std::string> out;
-    for (const auto& [name, unused] : lives_)
+    for (const auto& [name, unused] : slots_)
         out.push_back(name);
     return out;
 }
@@ -65,17 +65,17 @@
 void fake_world::schedule(const std::string& owner, core::duration after, std::function<void()> action)
 {
     events_.emplace(std::pair{clock_.now() + after, ++next_event_},
-                    event{owner, lives_.at(owner).number, std::move(action)});
+                    event{owner, slots_.at(owner).incarnation, std::move(action)});
 }
 
-void fake_world::run_due()
+void fake_world::run_due_events()
 {
     while (!events_.empty() && events_.begin()->first.first <= clock_.now())
     {
         auto it = std::move(events_.begin()->second);
         events_.erase(events_.begin());
-        auto& owner = lives_.at(it.owner);
-        if (owner.number != it.life || !owner.instance)
+        auto& owner = slots_.at(it.owner);
+        if (owner.incarnation != it.incarnation || !owner.instance)
             continue;
         if (owner.frozen)
             owner.backlog.push_back(std::move(it.action));
@@ -86,7 +86,7 @@
 
 void fake_world::tick_all()
 {
-    for (auto& [unused, it] : lives_)
+    for (auto& [unused, it] : slots_)
         if (it.instance && !it.frozen)
             it.instance->tick(clock_.now());
 }
@@ -101,7 +101,7 @@
         if (!events_.empty())
             next = std::min(next, std::max(events_.begin()->first.first, clock_.now()));
         clock_.advance_to(next);
-        run_due();
+        run_due_events();
         if (next == next_tick)
             tick_all();
     }
@@ -117,29 +117,29 @@
 
 void fake_world::start(const std::string& name)
 {
-    auto& it = lives_.at(name);
-    ++it.number;
+    auto& it = slots_.at(name);
+    ++it.incarnation;
     core::instance_options options;
     options.deployment = "test";
-    options.self = {core::instance_id{name}, core::incarnation_id{name + std::to_string(it.number)},
+    options.self = {core::instance_id{name}, core::incarnation_id{name + std::to_string(it.incarnation)},
                     core::failure_domain_id{"domain-" + name}, it.address};
-    options.expected_instances = static_cast<std::uint32_t>(lives_.size());
+    options.expected_instances = static_cast<std::uint32_t>(slots_.size());
     options.keeper.expected_instances = options.expected_instances;
     options.secrets = {"secret"};
     options.random_seed = seed_;
     options.client.partitions = test_partitions;
-    for (const auto& [unused, e] : lives_)
+    for (const auto& [unused, e] : slots_)
         options.seed_addresses.push_back(e.address);
     if (adjust)
         adjust(options);
-    it.instance = std::make_unique<core::instance>(std::move(options), make_edge(name));
+    it.instance = std::make_unique<core::instance>(std::move(options), make_instance_hooks(name));
 }
 
 void fake_world::kill(const std::string& name)
 {
-    auto& it = lives_.at(name);
+    auto& it = slots_.at(name);
     it.instance.reset();
-    ++it.number;
+    ++it.incarnation;
     it.frozen = false;
     it.backlog.clear();
     for (auto& call : calls_)
@@ -149,14 +149,14 @@
 
 void fake_world::freeze(const std::string& name)
 {
-    lives_.at(name).frozen = true;
+    slots_.at(name).frozen = true;
 }
 
 void fake_world::thaw(const std::string& name)
 {
-    auto& it = lives_.at(name);
+    auto& it = slots_.at(name);
     it.frozen = false;
-    // What piled up is handled in order, with a tick among it as the event loop would have.
+    // Runs the backlog in order, as an event loop does after a pause.
     while (!it.backlog.empty() && it.instance)
     {
         const auto action = std::move(it.backlog.front());
@@ -167,32 +167,33 @@
 
 void fake_world::cut(const std::string& a, const std::string& b)
 {
-    cuts_.insert(std::minmax(a, b));
+    cut_links_.insert(std::minmax(a, b));
 }
 
 void fake_world::heal(const std::string& a, const std::string& b)
 {
-    cuts_.erase(std::minmax(a, b));
+    cut_links_.erase(std::minmax(a, b));
 }
 
 void fake_world::deliver(const std::string& from, const std::string& address, const core::peer_envelope& it)
 {
-    for (auto& [name, e] : lives_)
+    for (auto& [name, e] : slots_)
     {
-        if (e.address != address || !e.instance || cuts_.contains(std::minmax(from, name)))
+        if (e.address != address || !e.instance || cut_links_.contains(std::minmax(from, name)))
             continue;
         const auto decoded = proto::decode(proto::encode(it)).value();
         schedule(name, peer_latency, [this, name = name, decoded] { at(name).on_peer(now(), decoded); });
     }
 }
 
-core::instance_hooks fake_world::make_edge(const std::string& name)
+core::instance_hooks fake_world::make_instance_hooks(const std::string& name)
 {
     core::instance_hooks out;
     out.store = store.port(
-        [this, name, number = lives_.at(name).number](core::duration after, std::function<void()> action)
+        [this, name, incarnation = slots_.at(name).incarnation](core::duration after,
+                                                                std::function<void()> action)
         {
-            if (lives_.at(name).number == number)
+            if (slots_.at(name).incarnation == incarnation)
                 schedule(name, after, std::move(action));
         });
     out.codec = proto::make_ledger_codec();
@@ -284,7 +285,7 @@
     requests_[it.id] = it;
     const auto deliver_now = [this, instance, it] { at(instance).on_request(now(), it); };
     if (is_frozen(instance))
-        lives_.at(instance).backlog.push_back(deliver_now);
+        slots_.at(instance).backlog.push_back(deliver_now);
     else
         deliver_now();
 }
@@ -338,8 +339,8 @@
 
 core::request_router* fake_world::router_of(const endpoint_call& it)
 {
-    auto& life = lives_.at(it.instance);
-    return life.instance ? &life.instance->router() : nullptr;
+    auto& slot = slots_.at(it.instance);
+    return slot.instance ? &slot.instance->router() : nullptr;
 }
 
 void fake_world::endpoint_head(endpoint_call& it)
--- a/tests/support/fake_world.hpp
+++ b/tests/support/fake_world.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A few instances between a fake store and fake endpoints, on one paused clock.
+/// Several instances with a fake store and fake endpoints, on one manual clock.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
     bool open = true;
 };
 
-/// What a caller was told.
+/// The response as its caller sees it.
 struct caller_view
 {
     bool begun = false;
@@ -38,7 +38,7 @@
     core::refusal refusal;
 };
 
-/// Instances are named `a`, `b`, `c`. Each is in a failure domain of its own.
+/// Simulated deployment. Instances are named `a`, `b`, `c`. Each is in its own failure domain.
 class fake_world
 {
 public:
@@ -48,7 +48,7 @@
     ~fake_world();
 
     trace_function trace = [](const std::string&) {};
-    /// Changes the options of instances that start from now on.
+    /// Adjusts the options of instances started after it is set.
     std::function<void(core::instance_options&)> adjust;
     fake_store store;
 
@@ -58,14 +58,14 @@
     void thaw(const std::string& name);
     void cut(const std::string& a, const std::string& b);
     void heal(const std::string& a, const std::string& b);
-    bool is_up(const std::string& name) const { return lives_.at(name).instance != nullptr; }
-    bool is_frozen(const std::string& name) const { return lives_.at(name).frozen; }
+    bool is_up(const std::string& name) const { return slots_.at(name).instance != nullptr; }
+    bool is_frozen(const std::string& name) const { return slots_.at(name).frozen; }
     std::vector<std::string> names() const;
 
-    core::instance& at(const std::string& name) { return *lives_.at(name).instance; }
+    core::instance& at(const std::string& name) { return *slots_.at(name).instance; }
     core::time_point now() const { return clock_.now(); }
     void advance(core::duration it);
-    /// Advances until the condition holds. Returns whether it did within the bound.
+    /// Advances until the condition holds or `bound` has passed. Returns whether the condition holds.
     bool advance_until(const std::function<bool()>& condition, core::duration bound);
 
     void configure(const core::configuration& it);
@@ -74,10 +74,10 @@
     const caller_view& caller(const core::request_id& id) const { return callers_.at(id); }
     const std::map<core::request_id, caller_view>& callers() const { return callers_; }
 
-    /// Attempts that endpoints have open, oldest first.
+    /// Open attempts at endpoints, oldest first.
     std::vector<endpoint_call*> open_calls();
     endpoint_call* open_call_of(const core::request_id& id);
-    /// The first attempt of a request, whether it was given up or not.
+    /// The first attempt of a request, open or not.
     endpoint_call* first_call_of(const core::request_id& id);
     void endpoint_head(endpoint_call& it);
     void endpoint_bytes(endpoint_call& it, const std::string& text);
@@ -85,21 +85,21 @@
     void endpoint_refuses(endpoint_call& it);
     void endpoint_loses(endpoint_call& it, bool ran);
 
-    /// How often the work of a request ran: by account and key, or by request.
+    /// Number of runs by account and idempotency key, or by request if it has no key.
     const std::map<std::string, int>& runs() const { return runs_; }
-    /// How often the endpoints ran a request, by the request.
+    /// Number of runs at endpoints, by request.
     const std::map<core::request_id, int>& runs_by_request() const { return runs_by_request_; }
     std::string bill_of(const core::request_id& id) const;
     /// The settlements in the ledger, by bill.
     std::map<std::string, std::vector<core::ledger_entry>> bills() const;
-    /// Every ledger entry in the store, in order of partition and sequence.
+    /// All ledger entries in the store, ordered by partition and sequence.
     std::vector<core::ledger_entry> ledger() const;
 
 private:
-    struct life
+    struct instance_slot
     {
         std::unique_ptr<core::instance> instance;
-        std::uint64_t number = 0;
+        std::uint64_t incarnation = 0;
         bool frozen = false;
         std::deque<std::function<void()>> backlog;
         std::string address;
@@ -107,14 +107,14 @@
     struct event
     {
         std::string owner;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         std::function<void()> action;
     };
 
     void schedule(const std::string& owner, core::duration after, std::function<void()> action);
-    void run_due();
+    void run_due_events();
     void tick_all();
-    core::instance_hooks make_edge(const std::string& name);
+    core::instance_hooks make_instance_hooks(const std::string& name);
     core::router_hooks make_router_hooks(const std::string& name);
     void deliver(const std::string& from, const std::string& address, const core::peer_envelope& it);
     core::request_router* router_of(const endpoint_call& it);
@@ -124,10 +124,10 @@
 
     core::manual_clock clock_;
     std::uint64_t seed_;
-    std::map<std::string, life> lives_;
+    std::map<std::string, instance_slot> slots_;
     std::map<std::pair<core::time_point, std::uint64_t>, event> events_;
     std::uint64_t next_event_ = 0;
-    std::set<std::pair<std::string, std::string>> cuts_;
+    std::set<std::pair<std::string, std::string>> cut_links_;
     std::deque<endpoint_call> calls_;
     std::map<core::request_id, caller_view> callers_;
     std::map<core::request_id, core::caller_request> requests_;
--- a/tests/support/forwarding_declarations.cpp
+++ b/tests/support/forwarding_declarations.cpp
@@ -30,7 +30,7 @@
         it.timeout = of.timeout();
         it.target_latency = milliseconds{200};
         it.target_gap = milliseconds{100};
-        it.max_attempts = 3; // which does not make an unsafe request run twice
+        it.max_attempts = 3; // an unsafe request must still run at most once
         it.services = {{declared_service(), 1}};
         if (it.resumable)
             it.model_sizes = {core::model_id{"small"}, core::model_id{"large"}};
@@ -69,7 +69,7 @@
 
 routing_table_ptr make_table(std::uint64_t version, const std::set<std::string>& keys)
 {
-    // Another account keeps routes closed when all keys are gone.
+    // An account with a key of its own keeps routes protected when all other keys are removed.
     std::vector<account> accounts{{core::account_id{"rest"}, {"rest"}, std::nullopt, {}}};
     for (const auto& it : keys)
         accounts.push_back({owner_of(it), {it}, std::nullopt, {}});
--- a/tests/support/forwarding_declarations.hpp
+++ b/tests/support/forwarding_declarations.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What is declared in random histories of the forwarder, and its bounds, scaled to some seconds.
+/// Routes, keys and forwarder options for random histories, with timeouts scaled down to a few seconds.
 #pragma once
 
 #include <cstdint>
@@ -25,12 +25,13 @@
     core::milliseconds timeout() const;
 };
 
-/// Paths begin with the index of their route.
+/// Routes of the histories. The path prefix of a route is its index in this list.
 const std::vector<declared_route>& declared_routes();
 const core::service_id& declared_service();
+/// The account of an API key; empty for an empty key.
 core::account_id owner_of(const std::string& key);
 routing::routing_table_ptr make_table(std::uint64_t version, const std::set<std::string>& keys);
-/// Every other seed has few repeats.
+/// Forwarder options. Even seeds get a small retry budget.
 routing::forwarder_options make_options(std::uint64_t seed);
 
 } // namespace runlink::tests
--- a/tests/support/forwarding_history.cpp
+++ b/tests/support/forwarding_history.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t longest_step_ms = 40;
 constexpr int endpoint_count = 6;
 constexpr std::uint64_t key_count = 4;
-constexpr std::uint64_t content_count = 12; ///< that requests share
+constexpr std::uint64_t content_count = 12; ///< number of contents that requests share
 constexpr std::uint64_t version_count = 3;
 const core::version_id flawed_version{"v2"};
 
@@ -31,9 +31,9 @@
 } // namespace
 
 forwarding_history::forwarding_history(std::uint64_t seed)
-    : random_{seed}, options_{make_options(seed)}, seen_{options_, around()},
+    : random_{seed}, options_{make_options(seed)}, witness_{options_, make_environment()},
       forwarder_{options_, core::failure_domain_id{"d0"}, core::instance_id{std::to_string(seed)},
-                 seen_.hooks()}
+                 witness_.hooks()}
 {
     for (std::uint64_t n = 0; n < key_count; ++n)
         keys_.insert(key_name(n));
@@ -57,21 +57,21 @@
     for (int n = 0; n < steps; ++n)
     {
         for (auto more = 1 + pick(2); more > 0; --more)
-            step();
+            random_event();
         for (auto more = pick(7); more > 0; --more)
-            attempt();
-        pass();
+            advance_attempt();
+        advance_time();
     }
     now_ += core::seconds{60};
     tick();
-    seen_.check_over();
+    witness_.check_over();
     CHECK(forwarder_.active_count() == 0);
     const auto& n = forwarder_.counters();
-    seen_.count("sent to a cold endpoint", n.cold_sends);
-    seen_.count("tried alone", n.trials);
-    seen_.count("found harmful", n.found_harmful);
-    seen_.count("end of an endpoint seen", n.endpoints_ended);
-    seen_.count("waited for a place", n.waited);
+    witness_.count("sent to a cold endpoint", n.cold_sends);
+    witness_.count("tried alone", n.trials);
+    witness_.count("found harmful", n.found_harmful);
+    witness_.count("end of an endpoint seen", n.endpoints_ended);
+    witness_.count("waited for a place", n.waited);
 }
 
 milliseconds forwarding_history::pick_time(std::uint64_t least_ms, std::uint64_t spread_ms)
@@ -79,9 +79,9 @@
     return milliseconds{static_cast<milliseconds::rep>(least_ms + pick(spread_ms))};
 }
 
-forwarding_witness::surroundings forwarding_history::around()
+forwarding_witness::environment forwarding_history::make_environment()
 {
-    return {// Some endpoints begin a resumed stream anew.
+    return {// Some endpoints restart a resumed stream from its first event.
             [this](std::uint64_t last) { return pick(4) == 0 ? 1 : last + 1; },
             [this](const std::set<core::endpoint_id>& tried) { return has_untried(tried); },
             [this](crashes::request_fingerprint it) { return forwarder_.attribution().judge(now_, it); },
@@ -109,16 +109,16 @@
     return is_bad ? std::optional{it->order.target} : std::nullopt;
 }
 
-void forwarding_history::step()
+void forwarding_history::random_event()
 {
     switch (pick(16))
     {
-    case 0: return leave();
-    case 1: return answer_question();
+    case 0: return caller_leaves();
+    case 1: return answer_probe();
     case 2: return end_endpoint();
     case 3:
     case 4: return change_endpoints();
-    case 5: return tell_news();
+    case 5: return deliver_crash_news();
     case 6: return order_rollouts();
     case 7: return pick(3) == 0 ? change_evacuations() : change_keys();
     case 8: return pick(3) == 0 ? change_limit() : request(now_);
@@ -128,29 +128,29 @@
 
 // Time
 
-void forwarding_history::pass()
+void forwarding_history::advance_time()
 {
     switch (pick(40))
     {
-    case 0: return pause();
+    case 0: return suspend_process();
     case 1: now_ += pick_time(80, 200); break;
     default: now_ += pick_time(0, longest_step_ms);
     }
-    if (now_ >= proofs_away_until_)
+    if (now_ >= no_proof_until_)
         prove();
     if (pick(50) == 0)
-        proofs_away_until_ = now_ + pick_time(300, 2000);
+        no_proof_until_ = now_ + pick_time(300, 2000);
     tick();
     write_rollouts();
     if (pick(25) == 0)
-        tell("house", [&] { forwarder_.keep_house(now_); });
+        deliver("house", [&] { forwarder_.keep_house(now_); });
 }
 
-void forwarding_history::pause()
+void forwarding_history::suspend_process()
 {
     const auto since = now_;
     now_ += pick_time(50, 600);
-    tell("wake", [&] { forwarder_.on_wake(now_, since); });
+    deliver("wake", [&] { forwarder_.on_wake(now_, since); });
     for (auto more = pick(3); more > 0; --more)
         request(since);
     forwarder_.end_wake();
@@ -159,22 +159,22 @@
 
 void forwarding_history::tick()
 {
-    tell("tick", [&] { forwarder_.tick(now_); });
+    deliver("tick", [&] { forwarder_.tick(now_); });
 }
 
 void forwarding_history::prove()
 {
-    seen_.on_proof(now_);
-    tell("proof", [&] { forwarder_.proven_current(now_); });
+    witness_.on_proof(now_);
+    deliver("proof", [&] { forwarder_.proven_current(now_); });
 }
 
 // Declarations
 
 void forwarding_history::apply_table()
 {
-    seen_.on_keys(keys_);
+    witness_.on_keys(keys_);
     const auto table = make_table(++table_version_, keys_);
-    tell("table", [&] { forwarder_.apply(table); });
+    deliver("table", [&] { forwarder_.apply(table); });
 }
 
 void forwarding_history::change_keys()
@@ -194,7 +194,7 @@
                                    now_);
     if (pick(4) == 0)
         return to.on_order_removed(declared_service());
-    // Another instance wrote it.
+    // Another instance wrote the record.
     auto record = *it;
     record.revision = ++revision_;
     record.share_percent = static_cast<std::uint32_t>(pick(3) * 50);
@@ -214,7 +214,7 @@
         }
         it.revision = ++revision_;
         forwarder_.rollouts().on_record(now_, it);
-        seen_.count("roll-out: " + std::string{to_string(it.state)}, 1);
+        witness_.count("roll-out: " + std::string{to_string(it.state)}, 1);
     }
 }
 
@@ -222,9 +222,9 @@
 {
     const core::failure_domain_id domain{"d" + std::to_string(pick(3))};
     if (forwarder_.evacuated().size() > 1 || forwarder_.evacuated().contains(domain))
-        tell("readmitted", [&] { forwarder_.on_readmitted(now_, domain); });
+        deliver("readmitted", [&] { forwarder_.on_readmitted(now_, domain); });
     else
-        tell("evacuated", [&] { forwarder_.on_evacuated(domain); });
+        deliver("evacuated", [&] { forwarder_.on_evacuated(domain); });
 }
 
 // Endpoints
@@ -232,7 +232,7 @@
 void forwarding_history::put_endpoint(int n)
 {
     const auto& it = entries_[n];
-    tell("endpoint", [&] { forwarder_.on_endpoint(now_, it); });
+    deliver("endpoint", [&] { forwarder_.on_endpoint(now_, it); });
 }
 
 void forwarding_history::change_endpoints()
@@ -243,14 +243,14 @@
     switch (pick(9))
     {
     case 8: return list_endpoints();
-    case 0: return tell("gone", [&] { forwarder_.endpoints().remove(now_, it.name); });
+    case 0: return deliver("gone", [&] { forwarder_.endpoints().remove(now_, it.name); });
     case 1: it.leaving = true; break;
     case 2:
-    case 3: begin_life(it); break;
+    case 3: begin_incarnation(it); break;
     default: break;
     }
     if (it.leaving && pick(2) == 0)
-        begin_life(it);
+        begin_incarnation(it);
     put_endpoint(n);
 }
 
@@ -266,10 +266,10 @@
         unreadable.push_back(all.back().name);
         all.pop_back();
     }
-    tell("endpoint list", [&] { forwarder_.on_endpoints(now_, all, unreadable); });
+    deliver("endpoint list", [&] { forwarder_.on_endpoints(now_, all, unreadable); });
 }
 
-void forwarding_history::begin_life(endpoint_entry& it)
+void forwarding_history::begin_incarnation(endpoint_entry& it)
 {
     it.incarnation = core::endpoint_incarnation{it.incarnation.value() + 1};
     it.id = endpoint_id_of(it.name, it.incarnation);
@@ -283,21 +283,21 @@
     return core::version_id{"v" + std::to_string(pick(version_count))};
 }
 
-void forwarding_history::answer_question()
+void forwarding_history::answer_probe()
 {
-    if (seen_.asked().empty())
+    if (witness_.pending_probes().empty())
         return;
-    const auto id = seen_.take_asked();
+    const auto id = witness_.take_probe();
     const core::contact all[] = {core::contact::answered, core::contact::answered, core::contact::silent,
                                  core::contact::refused};
     const auto what = all[pick(4)];
-    tell("asked", [&] { forwarder_.on_probe_result(now_, id, what); });
+    deliver("asked", [&] { forwarder_.on_probe_result(now_, id, what); });
 }
 
 void forwarding_history::end_endpoint()
 {
     const auto id = entries_[static_cast<int>(pick(endpoint_count))].id;
-    tell("own end", [&] { forwarder_.on_probe_result(now_, id, core::contact::refused); });
+    deliver("own end", [&] { forwarder_.on_probe_result(now_, id, core::contact::refused); });
 }
 
 void forwarding_history::change_limit()
@@ -307,17 +307,17 @@
         limits_[id] = static_cast<double>(pick(40)) / 10;
 }
 
-void forwarding_history::state(const seen_attempt& from)
+void forwarding_history::deliver_statement(const seen_attempt& from)
 {
     endpoint_statement says;
     if (const auto found = limits_.find(from.endpoint); found != limits_.end())
         says.requests_per_s = found->second;
     says.is_leaving = pick(60) == 0;
     if (says.is_leaving)
-        seen_.on_leaving(from.endpoint);
-    tell("statement", [&] { forwarder_.on_statement(now_, from.endpoint, from.sent_at, says); });
+        witness_.on_leaving(from.endpoint);
+    deliver("statement", [&] { forwarder_.on_statement(now_, from.endpoint, from.sent_at, says); });
     if (says.requests_per_s || forwarder_.bounds().limits().limit_of(from.endpoint) == std::nullopt)
-        seen_.on_limit(from.endpoint, says.requests_per_s);
+        witness_.on_limit(from.endpoint, says.requests_per_s);
 }
 
 void forwarding_history::ask_for_rest(const seen_attempt& from)
@@ -328,37 +328,39 @@
     says.rest = pick_time(50, 1500);
     if (const auto found = limits_.find(from.endpoint); found != limits_.end())
         says.requests_per_s = found->second;
-    tell("rest", [&] { forwarder_.on_statement(now_, from.endpoint, from.sent_at, says); });
-    seen_.on_rest(from.endpoint, now_ + *says.rest);
+    deliver("rest", [&] { forwarder_.on_statement(now_, from.endpoint, from.sent_at, says); });
+    witness_.on_rest(from.endpoint, now_ + *says.rest);
 }
 
 // Other instances
 
-void forwarding_history::tell_news()
+void forwarding_history::deliver_crash_news()
 {
-    const auto& attempts = seen_.attempts();
+    const auto& attempts = witness_.attempts();
     if (attempts.empty())
         return;
     auto at = attempts.begin();
     std::advance(at, static_cast<std::ptrdiff_t>(pick(attempts.size())));
-    const auto content = seen_.requests().at(at->second.flow).content;
+    const auto content = witness_.requests().at(at->second.flow).content;
     const crashes::interrupted_request run{content, milliseconds{100}};
     crashes::crash_message it;
     switch (pick(5))
     {
     case 0: it.findings.push_back({content, crashes::request_effect::harmful}); break;
     case 1: it.findings.push_back({content, crashes::request_effect::harmless}); break;
-    case 2: it.trials.push_back({content, crashes::endpoint_id_hash{next_life_++}, pick(2) == 0}); break;
+    case 2:
+        it.trials.push_back({content, crashes::endpoint_id_hash{next_ended_endpoint_++}, pick(2) == 0});
+        break;
     default:
         for (int n = 0; n < 2; ++n)
-            it.reports.push_back({crashes::endpoint_id_hash{next_life_++}, {run}});
+            it.reports.push_back({crashes::endpoint_id_hash{next_ended_endpoint_++}, {run}});
     }
-    tell("news", [&] { forwarder_.on_crash_news(now_, it); });
+    deliver("news", [&] { forwarder_.on_crash_news(now_, it); });
     if (pick(8) == 0)
-        tell("news",
-             [&] {
-                 forwarder_.on_crash_news(now_, {{}, {}, {{content, crashes::request_effect::harmless}}});
-             });
+        deliver("news",
+                [&] {
+                    forwarder_.on_crash_news(now_, {{}, {}, {{content, crashes::request_effect::harmless}}});
+                });
 }
 
 // Callers
@@ -368,7 +370,7 @@
     const flow_id id{next_flow_++};
     const auto n = pick(declared_routes().size());
     const auto& route = declared_routes()[n];
-    auto& it = seen_.requests()[id];
+    auto& it = witness_.requests()[id];
     it.kind = route.kind;
     it.is_idempotent = route.is_idempotent();
     it.is_public = route.is_public;
@@ -385,50 +387,50 @@
         in.session = core::session_id{"s" + std::to_string(pick(10))};
     in.prompt_tokens = pick(2) == 0 ? 0 : 20;
     it.content = crashes::fingerprint_of(in.content, owner_of(it.key));
-    it.longest = std::min(in.time_left, route.timeout());
-    it.deadline = arrived + it.longest;
-    tell("request", [&] { forwarder_.on_request(now_, id, in); });
+    it.max_duration = std::min(in.time_left, route.timeout());
+    it.deadline = arrived + it.max_duration;
+    deliver("request", [&] { forwarder_.on_request(now_, id, in); });
 }
 
-void forwarding_history::leave()
+void forwarding_history::caller_leaves()
 {
-    for (auto& [id, it] : seen_.requests())
+    for (auto& [id, it] : witness_.requests())
     {
-        if (it.finals > 0 || it.caller_left || pick(4) != 0)
+        if (it.outcomes > 0 || it.caller_left || pick(4) != 0)
             continue;
         it.caller_left = true;
         const auto flow = id;
-        return tell("caller left", [&] { forwarder_.on_caller_left(now_, flow); });
+        return deliver("caller left", [&] { forwarder_.on_caller_left(now_, flow); });
     }
 }
 
 // Attempts
 
-void forwarding_history::attempt()
+void forwarding_history::advance_attempt()
 {
-    auto& attempts = seen_.attempts();
+    auto& attempts = witness_.attempts();
     if (attempts.empty())
         return;
     auto at = attempts.begin();
     std::advance(at, static_cast<std::ptrdiff_t>(pick(attempts.size())));
     const auto id = at->first;
     auto& it = at->second;
-    auto& of = seen_.requests().at(it.flow);
+    auto& of = witness_.requests().at(it.flow);
     if (!it.sent)
     {
         if (pick(8) == 0)
             return end(id, "not sent", [&] { forwarder_.on_lost(now_, id, attempt_loss::not_sent); });
         if (!forwarder_.may_write(now_, id))
         {
-            seen_.count("withheld");
+            witness_.count("withheld");
             return end(id, "withheld", [&] { forwarder_.on_lost(now_, id, attempt_loss::withheld); });
         }
-        seen_.on_written(it.endpoint);
+        witness_.on_written(it.endpoint);
         it.sent = true;
         it.sent_at = now_;
         ++of.runs;
         CHECK(of.runs <= of.max_attempts);
-        return tell("sent", [&] { forwarder_.on_sent(now_, id); });
+        return deliver("sent", [&] { forwarder_.on_sent(now_, id); });
     }
     const auto fate = pick(of.kind == route_kind::streaming ? 30 : 8);
     if (fate == 0)
@@ -452,7 +454,7 @@
 
 void forwarding_history::answer(core::attempt_id id, const attempt_head& head)
 {
-    state(seen_.attempts().at(id));
+    deliver_statement(witness_.attempts().at(id));
     end(id, "answer", [&] { forwarder_.on_answer(now_, id, head); });
 }
 
@@ -461,18 +463,18 @@
     if (!it.has_head)
     {
         it.has_head = true;
-        state(it);
+        deliver_statement(it);
         it.is_unsealed = !is_sealed;
         const auto confidence = static_cast<int>(pick(100));
-        return tell("head",
-                    [&] {
-                        forwarder_.on_stream_head(now_, id, {200, false, is_sealed, true, confidence});
-                    });
+        return deliver("head",
+                       [&] {
+                           forwarder_.on_stream_head(now_, id, {200, false, is_sealed, true, confidence});
+                       });
     }
     if (it.next_event > stream_length)
         return end(id, "end", [&] { forwarder_.on_stream_end(now_, id); });
     const auto n = it.next_event++;
-    tell("event", [&] { forwarder_.on_stream_event(now_, id, std::to_string(n), n); });
+    deliver("event", [&] { forwarder_.on_stream_event(now_, id, std::to_string(n), n); });
 }
 
 } // namespace runlink::tests
--- a/tests/support/forwarding_history.hpp
+++ b/tests/support/forwarding_history.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Random callers, endpoints, declarations and other instances around one forwarder, on a paused clock.
+/// Drives one forwarder with random callers, endpoints, declarations and other instances, on a manual clock.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +15,39 @@
 namespace runlink::tests
 {
 
-/// One history. Whatever happens in it is drawn from its seed.
+/// A random sequence of events, determined by its seed.
 class forwarding_history
 {
 public:
     explicit forwarding_history(std::uint64_t seed);
 
     void run();
-    /// How often something was met, by its name.
-    const std::map<std::string, std::uint64_t>& met() const { return seen_.met(); }
+    /// Number of occurrences of each counted situation, by name.
+    const std::map<std::string, std::uint64_t>& met() const { return witness_.met(); }
 
 private:
     std::uint64_t pick(std::uint64_t below) { return random_() % below; }
     core::milliseconds pick_time(std::uint64_t least_ms, std::uint64_t spread_ms);
-    forwarding_witness::surroundings around();
+    forwarding_witness::environment make_environment();
     bool has_untried(const std::set<core::endpoint_id>& tried) const;
     std::optional<core::version_id> bad_version();
-    void step();
+    void random_event();
 
-    /// One event that the forwarder is told.
+    /// Delivers one event to the forwarder as a step of the witness.
     template <class Call>
-    void tell(std::string_view what, const Call& call)
+    void deliver(std::string_view what, const Call& call)
     {
-        seen_.begin_step(now_, what);
+        witness_.begin_step(now_, what);
         call();
-        seen_.end_step();
+        witness_.end_step();
     }
 
     // Time
-    /// Streams pause for as long as several gaps at times, and the process stands still.
-    void pass();
-    void pause();
+    /// Advances the clock. Some advances exceed several target gaps of a stream, and some suspend the
+    /// process.
+    void advance_time();
+    /// Simulates a suspended process that handles late requests when it wakes.
+    void suspend_process();
     void tick();
     void prove();
 
@@ -59,53 +61,56 @@
     // Endpoints
     void put_endpoint(int n);
     void change_endpoints();
-    /// The store's list, without those that leave, and at times with one that cannot be read.
+    /// Delivers the store's endpoint list without leaving endpoints, sometimes with an unreadable entry.
     void list_endpoints();
-    void begin_life(routing::endpoint_entry& it);
+    void begin_incarnation(routing::endpoint_entry& it);
     core::version_id pick_version();
-    void answer_question();
-    /// An endpoint refuses connections: it has ended, whatever its runs say later.
+    void answer_probe();
+    /// An endpoint refuses connections, which proves that it has ended whatever its attempts report later.
     void end_endpoint();
-    /// An endpoint begins to name a limit, names another one, or none.
+    /// Adds or removes the rate limit that an endpoint declares.
     void change_limit();
-    /// It refuses a request, and wants rest at times.
+    /// An endpoint that refuses a request sometimes asks for rest.
     void ask_for_rest(const seen_attempt& from);
-    /// What the endpoint says of itself in an answer.
-    void state(const seen_attempt& from);
+    /// Delivers the endpoint's statement in an answer: its rate limit, and whether it is leaving.
+    void deliver_statement(const seen_attempt& from);
 
     // Other instances
-    /// Tells of the content of a request that is under way, if there is one.
-    void tell_news();
+    /// Delivers crash news about the content of a request with an open attempt, if there is one.
+    void deliver_crash_news();
 
     // Callers
     void request(core::time_point arrived);
-    void leave();
+    void caller_leaves();
 
     // Attempts
-    void attempt();
+    /// Advances a random open attempt by one event.
+    void advance_attempt();
     void answer(core::attempt_id id, const routing::attempt_head& head);
     void stream(core::attempt_id id, seen_attempt& it, bool is_sealed);
-    /// The attempt is over at its endpoint; what the forwarder makes of it comes before it is forgotten here.
+    /// Ends an attempt at its endpoint. The witness keeps the attempt until the forwarder has handled its
+    /// end.
     template <class Call>
     void end(core::attempt_id id, std::string_view what, const Call& call)
     {
-        seen_.requests().at(seen_.attempts().at(id).flow).open.erase(id);
-        tell(what, call);
-        seen_.attempts().erase(id);
+        witness_.requests().at(witness_.attempts().at(id).flow).open.erase(id);
+        deliver(what, call);
+        witness_.attempts().erase(id);
     }
 
     std::mt19937_64 random_;
     routing::forwarder_options options_;
     core::time_point now_{core::seconds{1000}};
-    core::time_point proofs_away_until_{};
+    core::time_point no_proof_until_{};
     std::set<std::string> keys_;
     std::uint64_t table_version_ = 0;
     std::uint64_t revision_ = 0;
-    std::uint64_t next_life_ = 1; ///< of endpoints that other instances saw end
+    std::uint64_t next_ended_endpoint_ =
+        1; ///< hash of the next endpoint that another instance reports as ended
     std::uint64_t next_flow_ = 1;
     std::map<int, routing::endpoint_entry> entries_;
     std::map<core::endpoint_id, double> limits_;
-    forwarding_witness seen_;
+    forwarding_witness witness_;
     routing::request_forwarder forwarder_;
 };
 
--- a/tests/support/forwarding_script.cpp
+++ b/tests/support/forwarding_script.cpp
@@ -25,7 +25,7 @@
     return out;
 }
 
-/// The lines of a session without comments and empty ones.
+/// The lines of a script without comments and empty lines.
 std::vector<std::string> commands_of(const std::string& text)
 {
     std::istringstream in{text};
@@ -36,7 +36,7 @@
     return out;
 }
 
-/// The value of a word `name=value`, or the fallback.
+/// The value of the argument `name=value`, or the fallback.
 std::string option(const words& from, const std::string& name, const std::string& fallback = {})
 {
     for (const auto& it : from)
@@ -63,10 +63,10 @@
     return out;
 }
 
-class world
+class forwarder_session
 {
 public:
-    explicit world(const words& settings)
+    explicit forwarder_session(const words& settings)
         : forwarder_{options(settings), core::failure_domain_id{"north"}, core::instance_id{"i"}, hooks()}
     {
     }
@@ -76,7 +76,7 @@
         const auto all = split(line);
         const auto found = commands_.find(all.at(0));
         if (found == commands_.end())
-            throw std::runtime_error{"no such command: " + line};
+            throw std::runtime_error{"unknown command: " + line};
         try
         {
             found->second(all);
@@ -90,7 +90,7 @@
     std::ostringstream out;
 
 private:
-    /// `options [keys=last_known]`, the first line of a session that has it.
+    /// `options [keys=last_known]`: optional first line of a script.
     static forwarder_options options(const words& all)
     {
         forwarder_options out;
@@ -247,9 +247,9 @@
         return out;
     }
 
-    /// `says ENDPOINT [limit=N] [leaving] [rest=MS] [asked=MS]`: in an answer to a request that was sent so
-    /// long ago.
-    void state(const words& all)
+    /// `says ENDPOINT [limit=N] [leaving] [rest=MS] [asked=MS]`: the endpoint's statement in an answer to a
+    /// request sent `asked` milliseconds ago.
+    void deliver_statement(const words& all)
     {
         endpoint_statement it;
         if (const auto n = option(all, "limit"); !n.empty())
@@ -305,7 +305,7 @@
         return crashes::fingerprint_of({}, core::account_id{all.at(1)});
     }
 
-    /// `suspected ACCOUNT`: other instances saw endpoints end under its requests.
+    /// `suspected ACCOUNT`: other instances saw endpoints end while running its requests.
     void suspect(const words& all)
     {
         const crashes::interrupted_request run{content_of(all), milliseconds{100}};
@@ -313,13 +313,13 @@
             forwarder_.on_crash_news(now_, {{{crashes::endpoint_id_hash{n}, {run}}}, {}, {}});
     }
 
-    /// `condemned ACCOUNT`: another instance found them harmful.
+    /// `condemned ACCOUNT`: another instance found the account's requests harmful.
     void condemn(const words& all)
     {
         forwarder_.on_crash_news(now_, {{}, {}, {{content_of(all), crashes::request_effect::harmful}}});
     }
 
-    /// `cleared ACCOUNT`: another instance had an answer to them.
+    /// `cleared ACCOUNT`: another instance got an answer to the account's requests.
     void clear(const words& all)
     {
         forwarder_.on_crash_news(now_, {{}, {}, {{content_of(all), crashes::request_effect::harmless}}});
@@ -369,7 +369,7 @@
         {"request", [this](const words& all) { request(all); }},
         {"leave", [this](const words& all) { forwarder_.on_caller_left(now_, flows_.at(all.at(1))); }},
         {"sent", [this](const words& all) { forwarder_.on_sent(now_, attempt(all)); }},
-        {"says", [this](const words& all) { state(all); }},
+        {"says", [this](const words& all) { deliver_statement(all); }},
         {"answer", [this](const words& all) { answer(all); }},
         {"head", [this](const words& all) { forwarder_.on_stream_head(now_, attempt(all), head_of(all)); }},
         {"event", [this](const words& all) { event(all); }},
@@ -424,7 +424,7 @@
     words settings;
     if (!lines.empty() && lines.front().starts_with("options "))
         settings = split(lines.front());
-    world it{settings};
+    forwarder_session it{settings};
     for (const auto& line : lines)
     {
         if (!settings.empty() && line == lines.front())
--- a/tests/support/forwarding_script.hpp
+++ b/tests/support/forwarding_script.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whole sessions of the forwarder on a paused clock, from a script.
+/// Runs scripted sessions of the forwarder on a manual clock.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 namespace runlink::tests
 {
 
-/// Runs a script and returns its trace. Throws `std::runtime_error` for a line that cannot be read.
+/// Runs a script and returns its trace. Throws `std::runtime_error` for an unknown command or bad arguments.
 std::string run_forwarding_script(const std::string& text);
 
 } // namespace runlink::tests
--- a/tests/support/forwarding_witness.cpp
+++ b/tests/support/forwarding_witness.cpp
@@ -10,9 +10,10 @@
 
 using namespace routing;
 
-forwarding_witness::forwarding_witness(const forwarder_options& options, surroundings around)
+forwarding_witness::forwarding_witness(const forwarder_options& options, environment callbacks)
     : key_grace_{options.key_grace}, max_key_age_{options.max_key_age.value()},
-      max_denial_age_{options.max_denial_age}, least_time_{options.min_time_left}, around_{std::move(around)}
+      max_denial_age_{options.max_denial_age}, least_time_{options.min_time_left}, environment_{
+                                                                                       std::move(callbacks)}
 {
 }
 
@@ -25,14 +26,14 @@
     {
         CHECK(attempts_.at(from).flow == it);
         CHECK(attempts_.at(from).answered);
-        ++requests_.at(it).finals;
+        ++requests_.at(it).outcomes;
         answered_.insert(it);
     };
     to.forward_head = [this](flow_id it, core::attempt_id from) { CHECK(attempts_.at(from).flow == it); };
     to.forward_bytes = [this](flow_id it, std::string_view bytes)
     {
         auto& of = requests_.at(it);
-        CHECK(of.finals == 0);
+        CHECK(of.outcomes == 0);
         CHECK(std::to_string(of.last_event + 1) == bytes);
         ++of.last_event;
     };
@@ -40,16 +41,16 @@
     {
         auto& of = requests_.at(it);
         CHECK(of.last_event == stream_length);
-        ++of.finals;
+        ++of.outcomes;
         answered_.insert(it);
-        if (const auto gone = key_gone_for(of.key); gone && *gone >= key_grace_)
+        if (const auto gone = time_since_key_valid(of.key); gone && *gone >= key_grace_)
             count("stream ended whole after the grace of its key");
     };
-    to.break_off = [this](flow_id it) { ++requests_.at(it).finals; };
+    to.break_off = [this](flow_id it) { ++requests_.at(it).outcomes; };
     to.refuse = [this](flow_id it, const refusal& why)
     {
         auto& of = requests_.at(it);
-        ++of.finals;
+        ++of.outcomes;
         of.told_not_run = why.not_run;
         CHECK(why.not_run == (of.runs == 0));
         const bool is_unknown_key = why.why.code == core::errc::unauthenticated;
@@ -62,7 +63,7 @@
             CHECK(now_ - proven_at_.value() < max_denial_age_);
         }
     };
-    to.ask = [this](const endpoint_entry& it) { asked_.push_back(it.id); };
+    to.ask = [this](const endpoint_entry& it) { pending_probes_.push_back(it.id); };
     to.announce_session_run = [](const session_run&) {};
     to.announce_prompt_sent = [](const prompt_sent&) {};
     to.announce_prompt_answered = [](const prompt_answered&) {};
@@ -71,10 +72,10 @@
     return to;
 }
 
-core::endpoint_id forwarding_witness::take_asked()
+core::endpoint_id forwarding_witness::take_probe()
 {
-    auto out = std::move(asked_.back());
-    asked_.pop_back();
+    auto out = std::move(pending_probes_.back());
+    pending_probes_.pop_back();
     return out;
 }
 
@@ -82,10 +83,10 @@
 
 void forwarding_witness::on_keys(const std::set<std::string>& keys)
 {
-    // What a newer table brings in was declared after the proof of the one before.
+    // A key that is new in this table was declared after the previous table was proven current.
     for (const auto& it : keys)
         if (!keys_.contains(it) && proven_at_)
-            key_held_at_[it] = *proven_at_;
+            key_valid_at_[it] = *proven_at_;
     keys_ = keys;
 }
 
@@ -93,13 +94,13 @@
 {
     proven_at_ = now;
     for (const auto& it : keys_)
-        key_held_at_[it] = now;
+        key_valid_at_[it] = now;
 }
 
-std::optional<core::duration> forwarding_witness::key_gone_for(const std::string& key) const
+std::optional<core::duration> forwarding_witness::time_since_key_valid(const std::string& key) const
 {
-    const auto found = key_held_at_.find(key);
-    if (keys_.contains(key) || found == key_held_at_.end())
+    const auto found = key_valid_at_.find(key);
+    if (keys_.contains(key) || found == key_valid_at_.end())
         return std::nullopt;
     return now_ - found->second;
 }
@@ -114,7 +115,7 @@
         CHECK(now_ - *proven_at_ < max_key_age_);
         return;
     }
-    const auto gone = key_gone_for(of.key);
+    const auto gone = time_since_key_valid(of.key);
     REQUIRE(gone);
     CHECK(*gone < key_grace_);
 }
@@ -129,7 +130,7 @@
         return;
     }
     auto& it = limited_[id];
-    // A higher limit allows more at once, a lower one counts from when it was named.
+    // A higher limit applies immediately. A lower one applies to requests after its declaration.
     if (it.written.empty() || *requests_per_s < it.requests_per_s)
         it = {*requests_per_s, now_, {}};
     it.requests_per_s = *requests_per_s;
@@ -164,7 +165,7 @@
     count("sent to an endpoint that names a limit");
 }
 
-// Orders
+// Attempts
 
 void forwarding_witness::on_start(const attempt_order& it)
 {
@@ -172,18 +173,18 @@
     as.flow = it.flow;
     as.endpoint = it.endpoint.id;
     as.version = it.endpoint.version;
-    as.next_event = it.last_event ? around_.first_event_after(*it.last_event) : 1;
+    as.next_event = it.last_event ? environment_.first_event_after(*it.last_event) : 1;
     attempts_[it.id] = as;
     auto& of = requests_.at(it.flow);
     INFO("flow " << it.flow << ", attempt " << it.id << ", step " << step_);
-    CHECK(of.finals == 0);
+    CHECK(of.outcomes == 0);
     CHECK_FALSE(of.caller_left);
-    CHECK(it.time_left <= of.longest);
+    CHECK(it.time_left <= of.max_duration);
     CHECK(now_ < of.deadline);
     if (!of.is_idempotent)
         CHECK(of.runs == 0);
     check_key(of);
-    CHECK(as.version != around_.bad_version());
+    CHECK(as.version != environment_.bad_version());
     if (!of.is_public && !keys_.contains(of.key))
         count("sent within the grace of a removed key");
     if (!of.open.empty())
@@ -220,7 +221,7 @@
 
 // Steps
 
-void forwarding_witness::content_news::pass()
+void forwarding_witness::content_news::end_interval()
 {
     pending = std::exchange(fresh, {});
 }
@@ -240,8 +241,8 @@
     answered_.clear();
     if (step_ != "tick")
         return;
-    suspected_.pass();
-    condemned_.pass();
+    suspected_.end_interval();
+    condemned_.end_interval();
 }
 
 void forwarding_witness::check_cancelled(const cancelled_run& it)
@@ -253,7 +254,7 @@
         return count("replaced: " + step_);
     if (answered_.contains(was.flow))
         return count("another copy answered");
-    // Of a stream and its successor one goes on: the one that gave a head or an event in this step.
+    // Of two attempts of a stream, the one that delivered a head or an event in this step continues.
     const bool is_delivering = step_ == "head" || step_ == "event";
     const auto goes_on = [&](const auto& e) { return e.second.flow == was.flow && e.second.has_head; };
     if (is_delivering && std::any_of(attempts_.begin(), attempts_.end(), goes_on))
@@ -261,8 +262,8 @@
     if (of.caller_left || now_ >= of.deadline)
         return;
     const auto content = to_hex(of.content);
-    const bool is_verdict = of.finals > 0 && condemned_.contains(content);
-    const bool is_withdrawal = of.finals == 0 && suspected_.contains(content);
+    const bool is_verdict = of.outcomes > 0 && condemned_.contains(content);
+    const bool is_withdrawal = of.outcomes == 0 && suspected_.contains(content);
     if (is_verdict)
     {
         CHECK(of.is_idempotent);
@@ -272,7 +273,7 @@
     }
     if (is_withdrawal)
         return check_withdrawn(of, was);
-    FAIL_CHECK("a run that could go on was cancelled, and nothing took its place");
+    FAIL_CHECK("an attempt that could continue was cancelled without a replacement");
 }
 
 void forwarding_witness::check_withdrawn(const seen_request& of, const seen_attempt& was)
@@ -280,12 +281,12 @@
     count("withdrawn");
     CHECK(of.is_idempotent);
     CHECK_FALSE(was.has_head);
-    CHECK(around_.judge(of.content) != crashes::permission::free);
-    // It may be sent again, as far as that is seen from outside.
+    CHECK(environment_.judge(of.content) != crashes::permission::free);
+    // The request must still be eligible for a retry, as far as can be observed from outside.
     CHECK(of.runs < of.max_attempts);
     CHECK(of.deadline - now_ > least_time_);
     check_key(of);
-    CHECK(around_.has_untried(of.tried));
+    CHECK(environment_.has_untried(of.tried));
 }
 
 void forwarding_witness::check_over() const
@@ -293,7 +294,7 @@
     for (const auto& [id, it] : requests_)
     {
         INFO("flow " << id);
-        CHECK((it.finals == 1) != it.caller_left);
+        CHECK((it.outcomes == 1) != it.caller_left);
         CHECK(it.open.empty());
     }
 }
--- a/tests/support/session_script.cpp
+++ b/tests/support/session_script.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::string_view state_mark = " state: ";
 
-/// The words of one line, and the rest of it for free text.
+/// The words of one line, and access to the rest of the line as free text.
 struct script_line
 {
     std::vector<std::string> words;
--- a/tests/support/session_script.hpp
+++ b/tests/support/session_script.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Whole sessions as scripts: a script of timed events drives a `fake_world`, and the trace of decisions and
-/// answers is compared with a golden file.
+/// Runs scripts of timed events on a `fake_world`. Tests compare the trace of decisions and answers with a
+/// golden file.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace runlink::tests
 {
 
-/// Runs a script and returns its trace. Throws `std::runtime_error` on a line it cannot read.
+/// Runs a script and returns its trace. Throws `std::runtime_error` for a line that cannot be parsed.
 ///
 /// Lines: `instances a b`, `advance 10ms`, `state off`, and
 /// `request a r1 [key=k] [once] [quick] [stream] [session=new|of:r0] [version=r2] [account=x] [service=s]
