--- a/tests/support/forwarding_history.hpp
+++ b/tests/support/forwarding_history.hpp
@@ -105,8 +105,7 @@
     std::set<std::string> keys_;
     std::uint64_t table_version_ = 0;
     std::uint64_t revision_ = 0;
-    std::uint64_t next_ended_endpoint_ =
-        1; ///< hash of the next endpoint that another instance reports as ended
+    std::uint64_t next_ended_endpoint_ = 1; ///< hash for the next endpoint reported as ended
     std::uint64_t next_flow_ = 1;
     std::map<int, routing::endpoint_entry> entries_;
     std::map<core::endpoint_id, double> limits_;
