--- a/tests/cut_stream_test.cpp
+++ b/tests/cut_stream_test.cpp
@@ -1,4 +1,5 @@
-// An attempt at work is given up only in the step in which its successor goes.
+// A running attempt is cancelled only in the step in which a replacement attempt takes over, so that no
+// stream is cut when the replacement may not be sent.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
@@ -12,12 +13,14 @@
 namespace
 {
 
-/// Events of a stream that works, until its key has been gone for longer than the grace.
-std::string events_for_4800_ms(bool proves)
+/// Events of a healthy stream over 4800 ms, which is longer than the grace period of a removed key. With
+/// `confirms_table`, the key table is confirmed before each event.
+std::string events_for_4800_ms(bool confirms_table)
 {
     std::string out;
     for (int n = 2; n <= 13; ++n)
-        out += (proves ? "proven\n" : "") + std::string{"advance 400\nevent a1 "} + std::to_string(n) + "\n";
+        out += (confirms_table ? "proven\n" : "") + std::string{"advance 400\nevent a1 "} +
+               std::to_string(n) + "\n";
     return out;
 }
 
@@ -26,7 +29,8 @@
 end a1
 )";
 
-/// Half of the sessions get version v2, among them `s15`; answers of the old one are there to compare with.
+/// A roll-out at 50 %: half of the sessions, among them `s15`, use version v2. 22 answers of the old version
+/// v1 serve as the baseline for the comparison.
 std::string half_rolled_out()
 {
     std::string out = "table 1\nproven\nendpoint o1 pool version=v1\norder 4000 10\n";
@@ -68,7 +72,7 @@
 
 TEST_CASE("a stream is not cut for silence when the allowance is spent")
 {
-    // Three requests allow 5.4 repeats, of which these take five.
+    // Three requests allow 5.4 retries; this script uses five.
     const std::string spent = R"(endpoint e3 pool
 endpoint e4 pool
 endpoint e5 pool
@@ -98,7 +102,7 @@
 
 TEST_CASE("a small model's answer is delivered when the larger one may not be asked")
 {
-    // The key is removed while the small model reads the prompt.
+    // The key is removed while the small model processes the prompt.
     const std::string script = R"(table 1
 proven
 endpoint e1 pool
@@ -180,7 +184,7 @@
 
 TEST_CASE("the grace of a key that is removed counts from the proof before its removal")
 {
-    // Removed, given back and removed again without a proof in between.
+    // The key is removed, restored and removed again without a table confirmation in between.
     const std::string removed = "table 2 revoked=k1\ntable 3\ntable 4 revoked=k1\nproven\n";
     const std::string rest = "advance 480\nevent a1 14\nend a1\n";
     const auto out = run_forwarding_script(began + removed + events_for_4800_ms(true) + rest);
@@ -241,10 +245,10 @@
     }
     const auto out = run_forwarding_script(script + "advance 480\nsent a33\nhead a33\n");
     INFO(out);
-    // The fifth of the pauses takes the version out.
+    // The fifth paused stream causes the version to be taken out.
     CHECK(has(out, "start a32 r26 -> n"));
     CHECK(has(out, "start a33 r27 -> o1"));
-    // It is given up when its successor answers, not before.
+    // Attempt a27 is cancelled only when its replacement a33 answers.
     CHECK(has(out.substr(out.find("> head a33")), "cancel a27"));
     CHECK_FALSE(has(out.substr(0, out.find("> head a33")), "cancel a27"));
 }
@@ -284,7 +288,7 @@
 
 TEST_CASE("a stream at work is not cut when the endpoint that it would be moved to refuses it")
 {
-    // Three requests allow 5.4 repeats, of which these take four and the move one.
+    // Three requests allow 5.4 retries; this script uses four and the move of the stream uses one.
     const std::string spent = R"(endpoint e3 pool
 endpoint e4 pool
 endpoint e5 pool
--- a/tests/cut_suspect_test.cpp
+++ b/tests/cut_suspect_test.cpp
@@ -1,4 +1,5 @@
-// The same for requests that are suspected or found to end endpoints.
+// Requests that are suspected or found to crash endpoints: a running attempt is cancelled only when a
+// replacement attempt takes over.
 
 #include <catch2/catch.hpp>
 
@@ -85,7 +86,7 @@
 
 TEST_CASE("a trial that never begins its answer is tried elsewhere")
 {
-    // Every copy of its content, at any instance, waits for the trial.
+    // A trial that never ends would block all requests with the same content at every instance.
     const std::string script = R"(table 1
 proven
 endpoint e1 pool
--- a/tests/exposure_test.cpp
+++ b/tests/exposure_test.cpp
@@ -1,11 +1,12 @@
-// A deployment of 91 instances sent 15,010 requests to a version more than 5 s after its 50th bad answer,
-// which is all the traffic of the service for half a minute: the version had been declared good because its
-// time had passed, the endpoints of the version before it were stopped, and nothing was left to go back to.
-// Nobody had found it bad. Played again with a version of which 12 % of the answers take eight times as long,
-// all 91 instances wrote
+// Checks that a roll-out takes out a bad version early and completes with a good one. The failure to guard
+// against: a version passes because its observation time is over, although no instance has judged its
+// answers. In a deployment of 91 instances, 15,010 requests went to a version more than 5 s after its 50th
+// bad answer, which is all traffic of the service for half a minute. The endpoints of the previous version
+// were already stopped, so no rollback was possible. In simulations with 12 % of the answers eight times
+// slower, and with 15 % failures that begin 9 s after the order, all 91 instances wrote
 //     "event":"rollout_record","reason":"... running 8 %"   then 100 %, then "... succeeded 100 %"
-// and not one "version_found_bad"; so they did with 15 % failures that begin 9 s after the order.
-// Each kind of bad version that users name is played here, beside what surrounds it.
+// and no "version_found_bad". The cases cover each kind of bad version that users report, and the conditions
+// under which a version must not be taken out.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
@@ -22,6 +23,7 @@
 {
 
 constexpr int default_seeds = 2;
+/// Requests sent to a bad version beyond its share that are accepted.
 constexpr double exposure_slack = 30;
 
 int seed_count()
@@ -30,7 +32,7 @@
     return text == nullptr ? default_seeds : std::atoi(text);
 }
 
-std::string told(const rollout_outcome& it)
+std::string summary(const rollout_outcome& it)
 {
     std::ostringstream out;
     out << to_string(it.state) << ", " << it.exposed << " of " << it.requests << " exposed, " << it.bad
@@ -41,29 +43,29 @@
     return out.str();
 }
 
-/// Plays some seeds of a bad version: it has to be taken out.
-void check_taken_out(rollout_case of)
+/// Simulates a roll-out of a bad version with each seed and checks that it is rolled back.
+void check_taken_out(rollout_case scenario)
 {
     for (int n = 1; n <= seed_count(); ++n)
     {
-        of.seed = static_cast<std::uint64_t>(n);
-        const auto seen = rollout_fleet{of}.run();
-        INFO("seed " << n << ": " << told(seen));
+        scenario.seed = static_cast<std::uint64_t>(n);
+        const auto seen = rollout_fleet{scenario}.run();
+        INFO("seed " << n << ": " << summary(seen));
         CHECK(seen.late == 0);
         CHECK(static_cast<double>(seen.exposed) <=
-              of.exposure_share * static_cast<double>(seen.requests) + exposure_slack);
+              scenario.exposure_share * static_cast<double>(seen.requests) + exposure_slack);
         CHECK(seen.state == routing::rollout_state::rolled_back);
     }
 }
 
-/// The same of a good one: it has to be brought in.
-void check_brought_in(rollout_case of)
+/// Simulates a roll-out of a good version with each seed and checks that it succeeds.
+void check_brought_in(rollout_case scenario)
 {
     for (int n = 1; n <= seed_count(); ++n)
     {
-        of.seed = static_cast<std::uint64_t>(n);
-        const auto seen = rollout_fleet{of}.run();
-        INFO("seed " << n << ": " << told(seen));
+        scenario.seed = static_cast<std::uint64_t>(n);
+        const auto seen = rollout_fleet{scenario}.run();
+        INFO("seed " << n << ": " << summary(seen));
         CHECK(seen.state == routing::rollout_state::succeeded);
         CHECK(seen.why.empty());
     }
@@ -200,7 +202,7 @@
     check_brought_in(it);
 }
 
-// Its last run before the order was at another instance, and was told to nobody.
+// The last run of the session before the order was at another instance, which announced it to no other.
 TEST_CASE("a good version gets no session in the first half that just ran on the old one")
 {
     rollout_case it;
@@ -212,7 +214,7 @@
         {
             it.seed = static_cast<std::uint64_t>(n);
             const auto seen = rollout_fleet{it}.run();
-            INFO("sessions rest for " << ttl.count() << " ms at most, seed " << n << ": " << told(seen));
+            INFO("sessions rest for " << ttl.count() << " ms at most, seed " << n << ": " << summary(seen));
             CHECK(seen.moved == 0);
             CHECK(seen.state == routing::rollout_state::succeeded);
         }
--- a/tests/forwarding_property_test.cpp
+++ b/tests/forwarding_property_test.cpp
@@ -1,5 +1,5 @@
-// Random histories of the forwarder on a paused clock; what callers and endpoints see is checked after each
-// step.
+// Runs random event sequences against the forwarder with a simulated clock. What callers and endpoints
+// observe is checked after each step.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
@@ -18,8 +18,9 @@
 
 constexpr int default_seeds = 200;
 
-/// What the histories have to meet, so that no check holds for want of cases.
-const char* const to_meet[] = {
+/// Situations that must occur in at least one history, so that no check passes only because its case never
+/// occurs.
+const char* const required_situations[] = {
     "denied: may_run_once",
     "denied: attempts_spent",
     "denied: last_attempt",
@@ -63,10 +64,10 @@
     "roll-out: rolled_back",
 };
 
-int number_from(const char* variable, int otherwise)
+int number_from(const char* variable, int default_value)
 {
     const char* text = std::getenv(variable);
-    return text == nullptr ? otherwise : std::atoi(text);
+    return text == nullptr ? default_value : std::atoi(text);
 }
 
 } // namespace
@@ -86,8 +87,8 @@
             met[what] += n;
     }
     if (seeds < default_seeds)
-        return; // too few to meet everything
-    for (const auto* it : to_meet)
+        return; // too few seeds for every situation to occur
+    for (const auto* it : required_situations)
     {
         INFO(it);
         REQUIRE(met[it] > 0);
--- a/tests/forwarding_test.cpp
+++ b/tests/forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Compares whole sessions of the forwarder with their golden files.
+// Runs the forwarder session scripts and compares their traces with the golden files.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/golden_files.hpp
+++ b/tests/golden_files.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Where the golden files are.
+/// Locates and reads the session scripts and their golden files.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
     return buf.str();
 }
 
-/// The scripts, in order of their names.
+/// Returns the session scripts in `directory`, sorted by path.
 inline std::vector<std::filesystem::path>
 session_scripts(const std::filesystem::path& directory = RUNLINK_GOLDEN_DIR)
 {
--- a/tests/limit_test.cpp
+++ b/tests/limit_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that name a limit get no more than it allows from all instances together.
+// All instances together send an endpoint that announces a rate limit no more requests than it allows.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
@@ -20,9 +20,9 @@
 {
     for (const double limit : {0.0, 0.5, 2.2})
     {
-        statement_case of;
-        of.length = milliseconds{60'000};
-        statement_fleet it{of};
+        statement_case scenario;
+        scenario.length = milliseconds{60'000};
+        statement_fleet it{scenario};
         it.at(milliseconds{3000}, [&] { it.says(1).requests_per_s = limit; });
         const auto out = it.run();
         INFO("limit " << limit);
@@ -34,15 +34,15 @@
 
 TEST_CASE("a limit holds in a large deployment, and for repeats, slow connections and lost datagrams")
 {
-    statement_case of;
-    of.length = milliseconds{30'000};
-    of.instances = 65;
-    of.endpoints = 12;
-    of.requests_per_s = 400;
-    of.connect_time = milliseconds{250};
-    of.datagrams_lost = 0.2;
-    of.repeats_one_in = 6;
-    statement_fleet it{of};
+    statement_case scenario;
+    scenario.length = milliseconds{30'000};
+    scenario.instances = 65;
+    scenario.endpoints = 12;
+    scenario.requests_per_s = 400;
+    scenario.connect_time = milliseconds{250};
+    scenario.datagrams_lost = 0.2;
+    scenario.repeats_one_in = 6;
+    statement_fleet it{scenario};
     it.at(milliseconds{2000},
           [&]
           {
@@ -57,10 +57,10 @@
 
 TEST_CASE("a lower limit binds sends that are still connecting")
 {
-    statement_case of;
-    of.endpoints = 3;
-    of.connect_time = milliseconds{240};
-    statement_fleet it{of};
+    statement_case scenario;
+    scenario.endpoints = 3;
+    scenario.connect_time = milliseconds{240};
+    statement_fleet it{scenario};
     it.at(milliseconds{2000}, [&] { it.says(1).requests_per_s = 12; });
     it.at(milliseconds{8000}, [&] { it.says(1).requests_per_s = 1; });
     it.at(milliseconds{12000}, [&] { it.says(1).requests_per_s = 0.2; });
@@ -73,15 +73,15 @@
     it.at(milliseconds{2000}, [&] { it.says(1).requests_per_s = 0.5; });
     it.at(milliseconds{6000}, [&] { it.says(1).requests_per_s.reset(); });
     const auto out = it.run();
-    // Sixty requests a second at eight endpoints.
+    // The load is 60 requests per second over eight endpoints.
     CHECK(out.arrivals_after(1, milliseconds{15'000}) > 20);
 }
 
 TEST_CASE("where every endpoint names a limit the room is used, and what has no place is refused at once")
 {
-    statement_case of;
-    of.endpoints = 4;
-    statement_fleet it{of};
+    statement_case scenario;
+    scenario.endpoints = 4;
+    statement_fleet it{scenario};
     it.at(milliseconds{2000},
           [&]
           {
@@ -93,10 +93,10 @@
     const auto got = out.arrivals_after(0, milliseconds{4000}) + out.arrivals_after(1, milliseconds{4000}) +
                      out.arrivals_after(2, milliseconds{4000}) + out.arrivals_after(3, milliseconds{4000});
     CHECK(got > 16 * 4 * 3 * 6 / 10);
-    // A request waits no longer than until its answer would be late.
+    // A request waits only as long as its answer can still arrive in time.
     const auto longest = *std::max_element(out.refused_after.begin(), out.refused_after.end());
     CHECK(longest <= milliseconds{320});
-    // Nobody is told to come back to the same refusal, and not all at the same time.
+    // Retry delays are long enough that the retry is not refused again, and are spread over time.
     const auto [least, most] = std::minmax_element(out.put_off.begin(), out.put_off.end());
     CHECK(*least >= milliseconds{300});
     CHECK(*most - *least > milliseconds{1000});
@@ -104,9 +104,9 @@
 
 TEST_CASE("urgent requests come first where endpoints name limits")
 {
-    statement_case of;
-    of.endpoints = 2;
-    statement_fleet it{of};
+    statement_case scenario;
+    scenario.endpoints = 2;
+    statement_fleet it{scenario};
     it.at(milliseconds{1000},
           [&]
           {
@@ -130,30 +130,31 @@
         std::mt19937_64 random{static_cast<std::uint64_t>(seed)};
         const auto pick = [&](int below)
         { return static_cast<int>(random() % static_cast<unsigned>(below)); };
-        statement_case of;
-        of.seed = random();
-        of.instances = 2 + pick(20);
-        of.endpoints = 2 + pick(8);
-        of.requests_per_s = 20 + pick(200);
-        of.uneven = pick(3) * 0.3;
-        of.datagrams_lost = pick(3) * 0.1;
-        of.datagram_delay = milliseconds{2 + pick(60)};
-        of.connect_time = milliseconds{pick(240)};
-        of.repeats_one_in = pick(2) * 8;
-        statement_fleet it{of};
+        statement_case scenario;
+        scenario.seed = random();
+        scenario.instances = 2 + pick(20);
+        scenario.endpoints = 2 + pick(8);
+        scenario.requests_per_s = 20 + pick(200);
+        scenario.uneven = pick(3) * 0.3;
+        scenario.datagrams_lost = pick(3) * 0.1;
+        scenario.datagram_delay = milliseconds{2 + pick(60)};
+        scenario.connect_time = milliseconds{pick(240)};
+        scenario.repeats_one_in = pick(2) * 8;
+        statement_fleet it{scenario};
         for (int n = 0; n < 12; ++n)
         {
-            const auto e = pick(of.endpoints);
+            const auto e = pick(scenario.endpoints);
             const std::optional<double> limit = pick(4) == 0 ? std::nullopt : std::optional{pick(60) / 10.0};
             it.at(milliseconds{500 + pick(18'000)}, [&it, e, limit] { it.says(e).requests_per_s = limit; });
         }
         for (int n = 0; n < 3; ++n)
         {
-            const auto i = pick(of.instances);
+            const auto i = pick(scenario.instances);
             it.at(milliseconds{500 + pick(18'000)}, [&it, i] { it.restart(i); });
         }
         it.at(milliseconds{500 + pick(10'000)},
-              [&it, i = pick(of.instances), time = milliseconds{200 + pick(4000)}] { it.pause(i, time); });
+              [&it, i = pick(scenario.instances), time = milliseconds{200 + pick(4000)}]
+              { it.pause(i, time); });
         const auto out = it.run();
         INFO("seed " << seed);
         CHECK(out.limits_broken == none);
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The promises with real processes. Effects are counted at the endpoints and in the ledger.
+// Checks the guarantees with real processes. Runs are counted at the endpoints, bills in the ledger.
 
 #include <csignal>
 
@@ -16,9 +16,9 @@
 {
 
 constexpr const char* completions = "/v1/chat/completions";
-const net::header_list once{{"Runlink-Repeatable", "false"}};
+const net::header_list not_repeatable{{"Runlink-Repeatable", "false"}};
 
-net::header_list once_with_key(const std::string& key)
+net::header_list not_repeatable_with_key(const std::string& key)
 {
     return {{"Runlink-Repeatable", "false"}, {"Idempotency-Key", key}};
 }
@@ -28,7 +28,7 @@
     return std::all_of(calls.begin(), calls.end(), [](const auto& it) { return it->done; });
 }
 
-/// Every whole answer has one bill, and no bill stands twice.
+/// Checks that every complete answer has a bill and that no bill has more than one ledger entry.
 void check_bills(process_group& group, const std::vector<answer_ptr>& calls)
 {
     const auto billed = [&]
@@ -121,8 +121,8 @@
     group.control(0, {{"stall", true}});
     group.control(1, {{"stall", true}});
     const auto body = process_group::completion("dispute-1");
-    const auto a = group.start_call(0, completions, body, once_with_key("k1"));
-    const auto b = group.start_call(1, completions, body, once_with_key("k1"));
+    const auto a = group.start_call(0, completions, body, not_repeatable_with_key("k1"));
+    const auto b = group.start_call(1, completions, body, not_repeatable_with_key("k1"));
     REQUIRE(run_until([&] { return (a->done || b->done) && group.runs_of("dispute-1") == 1; }));
     const auto& refused = a->done ? a : b;
     CHECK(refused->result.status == 409);
@@ -131,7 +131,7 @@
     group.kill_instance(holder);
     const auto told_unknown = [&]
     {
-        const auto it = group.call(2, completions, body, once_with_key("k1"));
+        const auto it = group.call(2, completions, body, not_repeatable_with_key("k1"));
         return it->body.find("request_unknown") != std::string::npos;
     };
     CHECK(run_until(told_unknown));
@@ -140,7 +140,7 @@
     CHECK(run_until(
         [&]
         {
-            const auto it = group.call(holder, completions, body, once_with_key("k1"));
+            const auto it = group.call(holder, completions, body, not_repeatable_with_key("k1"));
             return it->body.find("request_unknown") != std::string::npos;
         }));
     CHECK(group.runs_of("dispute-1") == 1);
@@ -151,12 +151,12 @@
     process_group group{1};
     group.control(0, {{"drop", true}});
     group.control(1, {{"drop", true}});
-    const auto lost = group.call(0, completions, process_group::completion("once-1"), once);
+    const auto lost = group.call(0, completions, process_group::completion("once-1"), not_repeatable);
     CHECK(lost->result.status == 502);
     CHECK(lost->outcome() == "unknown");
     CHECK(group.runs_of("once-1") == 1);
     group.control(-2, {{"drop", true}});
-    CHECK(group.call(0, "/v1/services/transfer/once-2", "once-2", once)->outcome() == "unknown");
+    CHECK(group.call(0, "/v1/services/transfer/once-2", "once-2", not_repeatable)->outcome() == "unknown");
     CHECK(group.runs_of("once-2") == 1);
     group.control(1, {{"drop", false}});
     std::vector<answer_ptr> calls;
@@ -191,19 +191,20 @@
     REQUIRE(run_until([&] { return all_done(calls); }));
     for (const auto& it : calls)
         CHECK(it->is_whole());
-    const auto refused = group.call(0, completions, process_group::completion("claim-1"), once_with_key("k"));
+    const auto refused =
+        group.call(0, completions, process_group::completion("claim-1"), not_repeatable_with_key("k"));
     CHECK(refused->result.status == 503);
     CHECK(refused->outcome() == "not_run");
     CHECK_FALSE(refused->result.header("Retry-After").empty());
     CHECK(group.runs_of("claim-1") == 0);
-    group.kill_instance(2); // its bills are with the others
+    group.kill_instance(2); // the other instances hold copies of its bills
     group.control(-1, {{"outage", false}});
     check_bills(group, calls);
     CHECK(run_until(
         [&]
         {
-            const auto it =
-                group.call(0, completions, process_group::completion("claim-1"), once_with_key("k"));
+            const auto it = group.call(0, completions, process_group::completion("claim-1"),
+                                       not_repeatable_with_key("k"));
             return it->is_whole();
         }));
     CHECK(group.runs_of("claim-1") == 1);
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -1,4 +1,4 @@
-// Random histories, from seeds, with the promises checked after every step.
+// Runs seeded random event sequences and checks the invariants after every step.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
@@ -18,7 +18,8 @@
 constexpr int steps = 250;
 constexpr int keys = 6;
 
-/// One history: random requests and failures, then all is healed, and the rest of the promises is checked.
+/// One history: random requests and failures, then all failures are repaired and the final invariants
+/// checked.
 class history
 {
 public:
@@ -91,7 +92,7 @@
             it.repeatable = key % 2 == 0;
         }
         if (!it.repeatable)
-            once_.insert(it.key ? "office/" + it.key->str() : it.id.str());
+            non_repeatable_work_.insert(it.key ? "office/" + it.key->str() : it.id.str());
         world_.request(name, it);
     }
 
@@ -128,12 +129,14 @@
     {
         if (!world_.is_up(name))
             return world_.start(name);
-        at_risk_lost_ =
-            at_risk_lost_ || world_.at(name).router().counters().bills_at_risk > 0 || world_.store.down;
+        may_have_lost_bills_ = may_have_lost_bills_ ||
+                               world_.at(name).router().counters().bills_at_risk > 0 || world_.store.down;
         world_.kill(name);
     }
 
-    /// No bill waits for the store anywhere: what was killed so far has taken nothing with it.
+    /// True if the store is up and no running instance holds a bill or a copy that is not stored yet, so that
+    /// no
+    /// instance killed so far has lost a bill.
     bool everything_is_flushed()
     {
         for (const auto& it : world_.names())
@@ -176,7 +179,7 @@
     void check_always()
     {
         for (const auto& [work, n] : world_.runs())
-            if (once_.contains(work))
+            if (non_repeatable_work_.contains(work))
                 REQUIRE(n <= 1);
         for (const auto& [bill, entries] : world_.bills())
             REQUIRE(entries.size() == 1);
@@ -200,7 +203,7 @@
     {
         const auto bills = world_.bills();
         for (const auto& [id, it] : world_.callers())
-            if (it.whole && !it.head.replayed && !at_risk_lost_)
+            if (it.whole && !it.head.replayed && !may_have_lost_bills_)
                 REQUIRE(bills.contains(world_.bill_of(id)));
         for (const auto& name : world_.names())
             REQUIRE(world_.at(name).ledger().pending_count() == 0);
@@ -209,9 +212,9 @@
     std::mt19937_64 random_;
     fake_world world_;
     std::vector<std::string> log_;
-    std::set<std::string> once_;
+    std::set<std::string> non_repeatable_work_;
     int requests_ = 0;
-    bool at_risk_lost_ = false;
+    bool may_have_lost_bills_ = false;
     int kills_before_flush_ = 0;
 };
 
--- a/tests/rest_test.cpp
+++ b/tests/rest_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that ask for rest, refusing a request, get nothing until it is over.
+// An endpoint that refuses a request and asks for a rest period gets no requests until the period ends.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
@@ -32,13 +32,13 @@
 
 TEST_CASE("a request that finds every endpoint at rest does not go through them")
 {
-    statement_case of;
-    of.endpoints = 3;
-    statement_fleet it{of};
+    statement_case scenario;
+    scenario.endpoints = 3;
+    statement_fleet it{scenario};
     it.at(milliseconds{3000},
           [&]
           {
-              for (int e = 0; e < of.endpoints; ++e)
+              for (int e = 0; e < scenario.endpoints; ++e)
               {
                   it.says(e).refused = 0.9;
                   it.says(e).rest = milliseconds{2000};
@@ -52,21 +52,21 @@
 TEST_CASE("callers whose requests fit at resting endpoints only come back when a rest is over, not at the "
           "same time")
 {
-    statement_case of;
-    of.endpoints = 2;
-    of.length = milliseconds{4900};
-    statement_fleet it{of};
+    statement_case scenario;
+    scenario.endpoints = 2;
+    scenario.length = milliseconds{4900};
+    statement_fleet it{scenario};
     it.at(milliseconds{2000},
           [&]
           {
-              for (int e = 0; e < of.endpoints; ++e)
+              for (int e = 0; e < scenario.endpoints; ++e)
               {
                   it.says(e).refused = 1;
                   it.says(e).rest = milliseconds{3000};
               }
           });
     const auto out = it.run();
-    // All are refused from shortly after 2 s on; few of them before both rests are known.
+    // All requests are refused from shortly after 2 s on; few of them before both rest periods are known.
     REQUIRE(out.refused > 100);
     const auto early = std::count_if(out.back_at.begin(), out.back_at.end(),
                                      [](milliseconds at) { return at < milliseconds{5000}; });
@@ -90,19 +90,19 @@
         const auto pick = [&](int below)
         { return static_cast<int>(random() % static_cast<unsigned>(below)); };
         const auto pick_time = [&](int least, int spread) { return milliseconds{least + pick(spread)}; };
-        statement_case of;
-        of.seed = random();
-        of.instances = 2 + pick(12);
-        of.endpoints = 3 + pick(8);
-        of.requests_per_s = 20 + pick(200);
-        of.datagrams_lost = pick(3) * 0.1;
-        of.datagram_delay = pick_time(2, 60);
-        of.connect_time = milliseconds{pick(240)};
-        of.repeats_one_in = pick(2) * 8;
-        statement_fleet it{of};
+        statement_case scenario;
+        scenario.seed = random();
+        scenario.instances = 2 + pick(12);
+        scenario.endpoints = 3 + pick(8);
+        scenario.requests_per_s = 20 + pick(200);
+        scenario.datagrams_lost = pick(3) * 0.1;
+        scenario.datagram_delay = pick_time(2, 60);
+        scenario.connect_time = milliseconds{pick(240)};
+        scenario.repeats_one_in = pick(2) * 8;
+        statement_fleet it{scenario};
         for (int n = 0; n < 14; ++n)
         {
-            const auto e = pick(of.endpoints);
+            const auto e = pick(scenario.endpoints);
             endpoint_words words;
             if (pick(2) == 0)
                 words.requests_per_s = pick(60) / 10.0;
@@ -113,9 +113,9 @@
             words.is_leaving = pick(4) == 0;
             it.at(pick_time(500, 18'000), [&it, e, words] { it.says(e) = words; });
         }
-        it.at(pick_time(500, 18'000), [&it, i = pick(of.instances)] { it.restart(i); });
+        it.at(pick_time(500, 18'000), [&it, i = pick(scenario.instances)] { it.restart(i); });
         it.at(pick_time(500, 10'000),
-              [&it, i = pick(of.instances), time = pick_time(200, 4000)] { it.pause(i, time); });
+              [&it, i = pick(scenario.instances), time = pick_time(200, 4000)] { it.pause(i, time); });
         const auto out = it.run();
         INFO("seed " << seed);
         CHECK(out.limits_broken == none);
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -1,4 +1,4 @@
-// Compares whole sessions with their golden files.
+// Runs the session scripts and compares their traces with the golden files.
 
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/update_golden.cpp
+++ b/tests/update_golden.cpp
@@ -1,4 +1,4 @@
-// Writes the golden files anew, for review. CI never runs this.
+// Regenerates the golden files for review. CI never runs this program.
 
 #include <iostream>
 
