--- a/tests/cut_stream_test.cpp
+++ b/tests/cut_stream_test.cpp
@@ -14,13 +14,13 @@
 {
 
 /// Events of a healthy stream over 4800 ms, which is longer than the grace period of a removed key. With
-/// `confirms_table`, the key table is confirmed before each event.
-std::string events_for_4800_ms(bool confirms_table)
+/// `with_proofs`, a proof of the configuration precedes each event.
+std::string events_for_4800_ms(bool with_proofs)
 {
     std::string out;
     for (int n = 2; n <= 13; ++n)
-        out += (confirms_table ? "proven\n" : "") + std::string{"advance 400\nevent a1 "} +
-               std::to_string(n) + "\n";
+        out += (with_proofs ? "proven\n" : "") + std::string{"advance 400\nevent a1 "} + std::to_string(n) +
+               "\n";
     return out;
 }
 
@@ -184,7 +184,7 @@
 
 TEST_CASE("the grace of a key that is removed counts from the proof before its removal")
 {
-    // The key is removed, restored and removed again without a table confirmation in between.
+    // The key is removed, restored and removed again without a proof in between.
     const std::string removed = "table 2 revoked=k1\ntable 3\ntable 4 revoked=k1\nproven\n";
     const std::string rest = "advance 480\nevent a1 14\nend a1\n";
     const auto out = run_forwarding_script(began + removed + events_for_4800_ms(true) + rest);
