--- a/tests/support/crash_fleet.cpp
+++ b/tests/support/crash_fleet.cpp
@@ -13,15 +13,15 @@
 using namespace routing;
 
 const core::service_id service{"s"};
-constexpr milliseconds look_interval{10};
-constexpr milliseconds way{2};
-constexpr milliseconds news_delay{60}; ///< of the store's changes
+constexpr milliseconds tick_interval{10};
+constexpr milliseconds network_delay{2};
+constexpr milliseconds store_watch_delay{60}; ///< from a change in the store to the instances
 constexpr milliseconds connect_timeout{250};
-constexpr milliseconds question_timeout{600};
-/// An instance that is in touch has heard of the third end by then.
-constexpr milliseconds contact_time{3000};
+constexpr milliseconds probe_timeout{600};
+/// Time within which every connected instance learns of the third end.
+constexpr milliseconds propagation_time{3000};
 constexpr std::size_t ends_before_late = 3;
-constexpr milliseconds pace{70};
+constexpr milliseconds event_interval{70};
 constexpr std::uint64_t short_events = 6;
 constexpr std::uint64_t long_events = 60;
 constexpr std::uint64_t long_one_in = 6;
@@ -90,13 +90,13 @@
         it.forwarder->attribution().on_recorded(now_, e);
 }
 
-void crash_fleet::tell(int from, const crashes::crash_message& it)
+void crash_fleet::broadcast(int from, const crashes::crash_message& it)
 {
     for (int n = 0; n < case_.instances; ++n)
     {
         if (n == from || uniform() < case_.datagrams_lost)
             continue;
-        later(way,
+        later(network_delay,
               [this, n, it, generation = instances_[static_cast<std::size_t>(n)].generation]
               {
                   auto& to = instances_[static_cast<std::size_t>(n)];
@@ -108,19 +108,19 @@
 
 void crash_fleet::record(crashes::request_fingerprint it)
 {
-    const auto store_is_back = began_ + case_.store_away_until;
-    const auto wait = std::max<core::duration>(way, store_is_back - now_);
+    const auto store_is_back = started_at_ + case_.store_away_until;
+    const auto wait = std::max<core::duration>(network_delay, store_is_back - now_);
     later(wait,
           [this, it]
           {
               recorded_.insert(it);
-              later(news_delay,
+              later(store_watch_delay,
                     [this, it]
                     {
                         for (auto& to : instances_)
                             to.forwarder->attribution().on_recorded(now_, it);
                     });
-          }); // by whichever instance lives then
+          }); // whichever instance process runs by then
 }
 
 forwarder_hooks crash_fleet::hooks(int n)
@@ -136,19 +136,19 @@
         const auto it = found->second;
         it->is_cancelled = true;
         sends.erase(found);
-        later(way, [this, it] { leave(it); });
+        later(network_delay, [this, it] { remove_send(it); });
     };
-    to.ask = [this, n](const endpoint_entry& it) { answer_question(n, it); };
-    to.forward_answer = [this, n](flow_id it, core::attempt_id) { on_over(n, it, true, nullptr); };
+    to.ask = [this, n](const endpoint_entry& it) { answer_probe(n, it); };
+    to.forward_answer = [this, n](flow_id it, core::attempt_id) { on_request_end(n, it, true, nullptr); };
     to.forward_head = [](flow_id, core::attempt_id) {};
     to.forward_bytes = [](flow_id, std::string_view) {};
-    to.forward_end = [this, n](flow_id it) { on_over(n, it, true, nullptr); };
-    to.break_off = [this, n](flow_id it) { on_over(n, it, false, nullptr); };
-    to.refuse = [this, n](flow_id it, const refusal& why) { on_over(n, it, false, &why); };
+    to.forward_end = [this, n](flow_id it) { on_request_end(n, it, true, nullptr); };
+    to.break_off = [this, n](flow_id it) { on_request_end(n, it, false, nullptr); };
+    to.refuse = [this, n](flow_id it, const refusal& why) { on_request_end(n, it, false, &why); };
     to.announce_session_run = [](const session_run&) {};
     to.announce_prompt_sent = [](const prompt_sent&) {};
     to.announce_prompt_answered = [](const prompt_answered&) {};
-    to.announce_crashes = [this, n](const crashes::crash_message& it) { tell(n, it); };
+    to.announce_crashes = [this, n](const crashes::crash_message& it) { broadcast(n, it); };
     to.found_harmful = [this](crashes::request_fingerprint it) { record(it); };
     to.log = [](const decision&) {};
     to.ended = [](const decision&, core::duration) {};
@@ -192,7 +192,7 @@
 
 void crash_fleet::send_harmful(int caller)
 {
-    if (now_ - began_ > case_.harmful_until)
+    if (now_ - started_at_ > case_.harmful_until)
         return;
     asked it;
     it.caller = caller;
@@ -215,7 +215,7 @@
     by.forwarder->on_request(now_, flow, in);
 }
 
-void crash_fleet::on_over(int n, flow_id flow, bool is_served, const refusal* why)
+void crash_fleet::on_request_end(int n, flow_id flow, bool is_served, const refusal* why)
 {
     auto& flows = instances_[static_cast<std::size_t>(n)].flows;
     const auto found = flows.extract(flow);
@@ -262,7 +262,7 @@
     it->instance = n;
     it->generation = by.generation;
     by.sends[order.id] = it;
-    later(way, [this, it] { reach(it); });
+    later(network_delay, [this, it] { reach(it); });
 }
 
 void crash_fleet::reach(const send_ptr& it)
@@ -273,13 +273,13 @@
     if (to.is_silent)
         return later(connect_timeout, [this, it] { lose(it, attempt_loss::not_sent); });
     if (!to.is_up || to.entry.id != it->order.endpoint.id)
-        return later(way, [this, it] { lose(it, attempt_loss::not_sent); });
+        return later(network_delay, [this, it] { lose(it, attempt_loss::not_sent); });
     if (it->of.is_harmful())
     {
         ++outcome_.sends;
         const auto& ends = ends_[it->of.content];
         const bool is_late =
-            ends.size() >= ends_before_late && now_ - ends[ends_before_late - 1] > contact_time;
+            ends.size() >= ends_before_late && now_ - ends[ends_before_late - 1] > propagation_time;
         outcome_.late += is_late ? 1 : 0;
     }
     to.running.insert(it);
@@ -308,10 +308,10 @@
     auto& by = *instances_[static_cast<std::size_t>(it->instance)].forwarder;
     by.on_stream_head(now_, it->order.id, {200, false, true, true, {}});
     const bool is_long = core::stable_hash(it->of.content) % long_one_in == 0;
-    step(it, it->order.last_event.value_or(0) + 1, is_long ? long_events : short_events);
+    send_event(it, it->order.last_event.value_or(0) + 1, is_long ? long_events : short_events);
 }
 
-void crash_fleet::step(const send_ptr& it, std::uint64_t event, std::uint64_t events)
+void crash_fleet::send_event(const send_ptr& it, std::uint64_t event, std::uint64_t events)
 {
     if (!is_current(*it) || !at(it->order.endpoint).running.contains(it))
         return;
@@ -323,10 +323,10 @@
         return by.forwarder->on_stream_end(now_, it->order.id);
     }
     by.forwarder->on_stream_event(now_, it->order.id, "x", event);
-    later(pace, [this, it, event, events] { step(it, event + 1, events); });
+    later(event_interval, [this, it, event, events] { send_event(it, event + 1, events); });
 }
 
-void crash_fleet::leave(const send_ptr& it)
+void crash_fleet::remove_send(const send_ptr& it)
 {
     at(it->order.endpoint).running.erase(it);
 }
@@ -346,7 +346,7 @@
         return;
     it.is_up = false;
     for (const auto& e : std::exchange(it.running, {}))
-        later(way, [this, e] { lose(e, attempt_loss::broken); });
+        later(network_delay, [this, e] { lose(e, attempt_loss::broken); });
     later(between(2000, 3000), [this, &it] { restart_endpoint(it); });
 }
 
@@ -356,7 +356,7 @@
     it.is_silent = false;
     it.entry.incarnation = core::endpoint_incarnation{it.entry.incarnation.value() + 1};
     it.entry.id = endpoint_id_of(it.entry.name, it.entry.incarnation);
-    later(news_delay,
+    later(store_watch_delay,
           [this, &it]
           {
               for (auto& to : instances_)
@@ -372,19 +372,19 @@
             continue;
         it.is_up = false;
         it.is_silent = true;
-        it.running.clear(); // their callers hear nothing
+        it.running.clear(); // no error reaches the instances, as with a power loss
         later(between(4000, 5000), [this, &it = it] { restart_endpoint(it); });
     }
 }
 
-void crash_fleet::answer_question(int n, const endpoint_entry& about)
+void crash_fleet::answer_probe(int n, const endpoint_entry& about)
 {
     const auto& it = at(about);
     const auto what = it.is_silent                          ? core::contact::silent
                       : it.is_up && it.entry.id == about.id ? core::contact::answered
                                                             : core::contact::refused;
     const auto generation = instances_[static_cast<std::size_t>(n)].generation;
-    later(it.is_silent ? question_timeout : way,
+    later(it.is_silent ? probe_timeout : network_delay,
           [this, n, generation, what, id = about.id]
           {
               auto& by = instances_[static_cast<std::size_t>(n)];
@@ -393,17 +393,17 @@
           });
 }
 
-// The run
+// Simulation loop
 
-void crash_fleet::look(int n)
+void crash_fleet::tick_instance(int n)
 {
     auto& by = *instances_[static_cast<std::size_t>(n)].forwarder;
     by.proven_current(now_);
     by.tick(now_);
     constexpr milliseconds housekeeping{1000};
-    if ((now_ - began_) % housekeeping < look_interval)
+    if ((now_ - started_at_) % housekeeping < tick_interval)
         by.keep_house(now_);
-    later(look_interval, [this, n] { look(n); });
+    later(tick_interval, [this, n] { tick_instance(n); });
 }
 
 crash_outcome crash_fleet::run()
@@ -416,10 +416,10 @@
            [this, pick]
            {
                for (const auto& e : std::exchange(pick().running, {}))
-                   later(way, [this, e] { lose(e, attempt_loss::broken); });
+                   later(network_delay, [this, e] { lose(e, attempt_loss::broken); });
            });
     for (int n = 0; n < case_.instances; ++n)
-        later(milliseconds{n % look_interval.count()}, [this, n] { look(n); });
+        later(milliseconds{n % tick_interval.count()}, [this, n] { tick_instance(n); });
     for (int n = 0; n < case_.harmful_callers; ++n)
         later(case_.harmful_from + between(0, 100), [this, n] { send_harmful(n); });
     if (case_.all_end_at.count() > 0)
--- a/tests/support/crash_fleet.hpp
+++ b/tests/support/crash_fleet.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Many instances before endpoints that end, on a paused clock: by a request that ends whichever endpoint
-/// runs it, and by other causes that no request is to blame for.
+/// Simulates, on a virtual clock, several instances that route to endpoints whose processes end: because of
+/// a harmful request, which ends every endpoint that runs it, or for causes unrelated to any request.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 using core::milliseconds;
 using core::time_point;
 
-/// A fleet, what is asked of it, and what befalls it.
+/// The size of the fleet, its load and the injected failures.
 struct crash_case
 {
     std::uint64_t seed = 1;
@@ -30,35 +30,35 @@
     double requests_per_s = 110;
     milliseconds length{25000};
 
-    /// Callers that send the harmful request, each again and again and at any instance.
+    /// Callers that send harmful requests. Each one resends its request to a random instance.
     int harmful_callers = 5;
-    int harmful_requests = 1; ///< different ones
+    int harmful_requests = 1; ///< number of distinct harmful requests
     milliseconds harmful_from{3000};
     milliseconds harmful_until{25000};
-    bool harmful_is_repeatable = true; ///< false: one run each
-    /// The time that an endpoint lives after it began to run the harmful request.
+    bool harmful_is_repeatable = true; ///< false: each request may run only once
+    /// Time from when an endpoint starts to run a harmful request until its process ends.
     milliseconds survives{115};
 
-    double popular_share = 0;      ///< of the requests: all alike, of one account
-    double ends_per_s = 0;         ///< endpoints that end by themselves
-    milliseconds all_end_at{0};    ///< half of the endpoints end at one moment; 0: never
-    milliseconds power_loss_at{0}; ///< a failure domain falls silent; 0: never
-    double resets_per_s = 0;       ///< connections that break while their endpoint lives
-    double datagrams_lost = 0;
-    milliseconds restart_all_at{0}; ///< every instance is killed; 0: never
-    milliseconds store_away_until{0};
+    double popular_share = 0;   ///< share of the requests that have identical content and one client account
+    double ends_per_s = 0;      ///< rate of endpoint ends that no request causes
+    milliseconds all_end_at{0}; ///< when half of the endpoints end at once; 0: never
+    milliseconds power_loss_at{0};    ///< when one failure domain stops responding; 0: never
+    double resets_per_s = 0;          ///< rate at which the connections of a running endpoint break
+    double datagrams_lost = 0;        ///< share
+    milliseconds restart_all_at{0};   ///< when all instances are killed and restarted; 0: never
+    milliseconds store_away_until{0}; ///< the store accepts no writes before this time
 };
 
-/// What endpoints and callers saw.
+/// Counts of what the endpoints and callers observed.
 struct crash_outcome
 {
-    std::uint64_t ended = 0;    ///< endpoints that the harmful requests ended
-    std::uint64_t sends = 0;    ///< harmful requests that reached endpoints
-    std::uint64_t late = 0;     ///< of these: longer after the third end than an instance needs to hear of it
-    std::uint64_t asked = 0;    ///< other requests
-    std::uint64_t unserved = 0; ///< of these: without an answer, after one repeat
-    std::uint64_t condemned = 0; ///< other requests that were refused as harmful
-    std::uint64_t popular_condemned = 0;
+    std::uint64_t ended = 0; ///< endpoint ends caused by harmful requests
+    std::uint64_t sends = 0; ///< harmful requests that reached endpoints
+    std::uint64_t late = 0;  ///< of these, sent after every connected instance should know of the third end
+    std::uint64_t asked = 0; ///< harmless requests
+    std::uint64_t unserved = 0;          ///< of these, still unanswered after one retry
+    std::uint64_t condemned = 0;         ///< harmless requests refused as harmful
+    std::uint64_t popular_condemned = 0; ///< of these, requests of `popular_share`
 };
 
 class crash_fleet
@@ -73,8 +73,8 @@
 private:
     struct asked
     {
-        std::string content; ///< equal for requests that are alike
-        int caller = -1;     ///< of the harmful ones
+        std::string content; ///< equal for identical requests
+        int caller = -1;     ///< index of the sender of a harmful request; -1: harmless request
         int repeats = 0;
         bool is_popular = false;
         bool is_harmful() const { return caller >= 0; }
@@ -89,8 +89,8 @@
         bool is_cancelled = false;
     };
     using send_ptr = std::shared_ptr<send>;
-    /// Connections that break at one moment are lost in this order. The order of addresses would depend on
-    /// what ran before in the process.
+    /// Orders connections that break at the same time. Ordering by pointer would depend on earlier
+    /// allocations in the process, so that runs with one seed would differ.
     struct in_order_of_sending
     {
         bool operator()(const send_ptr& a, const send_ptr& b) const { return a->number < b->number; }
@@ -117,25 +117,25 @@
     void later(core::duration after, std::function<void()> what);
     double uniform() { return std::uniform_real_distribution<>{0, 1}(random_); }
     milliseconds between(int least, int most);
-    /// Calls again after times that average to this rate.
+    /// Calls `what` repeatedly, as a Poisson process with this rate.
     void repeat(double per_s, const std::function<void()>& what);
 
     void arrive();
     void send_harmful(int caller);
     void request(const asked& it);
-    void on_over(int n, routing::flow_id flow, bool is_served, const routing::refusal* why);
+    void on_request_end(int n, routing::flow_id flow, bool is_served, const routing::refusal* why);
     void on_start(int n, const routing::attempt_order& order);
     void reach(const send_ptr& it);
     void begin(const send_ptr& it);
-    void step(const send_ptr& it, std::uint64_t event, std::uint64_t events);
+    void send_event(const send_ptr& it, std::uint64_t event, std::uint64_t events);
     void lose(const send_ptr& it, routing::attempt_loss how);
-    void leave(const send_ptr& it);
+    void remove_send(const send_ptr& it);
     void end_endpoint(endpoint& it);
     void restart_endpoint(endpoint& it);
     void lose_power();
-    void answer_question(int n, const routing::endpoint_entry& about);
-    void look(int n);
-    void tell(int from, const crashes::crash_message& it);
+    void answer_probe(int n, const routing::endpoint_entry& about);
+    void tick_instance(int n);
+    void broadcast(int from, const crashes::crash_message& it);
     void record(crashes::request_fingerprint it);
     bool is_current(const send& it) const;
     endpoint& at(const routing::endpoint_entry& it);
@@ -143,14 +143,15 @@
     crash_case case_;
     std::mt19937_64 random_;
     time_point now_{core::seconds{1000}};
-    time_point began_ = now_;
+    time_point started_at_ = now_;
     std::multimap<time_point, std::function<void()>> events_;
     std::map<core::endpoint_name, endpoint> endpoints_;
     std::vector<instance> instances_;
-    std::map<std::string, std::vector<time_point>> ends_; ///< by harmful content
-    std::set<crashes::request_fingerprint> recorded_;     ///< in the store
+    std::map<std::string, std::vector<time_point>>
+        ends_;                                        ///< times at which endpoints ended, by harmful content
+    std::set<crashes::request_fingerprint> recorded_; ///< harmful fingerprints in the store
     std::uint64_t next_ = 1;
-    std::uint64_t sends_ = 0; ///< so far
+    std::uint64_t sends_ = 0; ///< number of attempts sent so far
     crash_outcome outcome_;
 };
 
--- a/tests/support/process_group.cpp
+++ b/tests/support/process_group.cpp
@@ -26,9 +26,9 @@
     return it.serverPort();
 }
 
-void must(bool it, const char* what)
+void throw_unless(bool holds, const char* what)
 {
-    if (!it)
+    if (!holds)
         throw std::runtime_error{what};
 }
 
@@ -74,7 +74,7 @@
 {
     started it{std::make_unique<QProcess>(), 0, 0};
     it.process->start(program, arguments);
-    must(it.process->waitForReadyRead(), "a stand-in does not start");
+    throw_unless(it.process->waitForReadyRead(), "a stand-in process did not start");
     const auto line = it.process->readLine().trimmed();
     it.port = line.mid(line.lastIndexOf(':') + 1).toUShort();
     return it;
@@ -118,9 +118,9 @@
     it.process->setProcessChannelMode(QProcess::ForwardedErrorChannel);
     it.process->setStandardErrorFile(directory_.filePath(QString{"log-%1"}.arg(n)), QIODevice::Append);
     it.process->start(RUNLINK_DAEMON, {"--settings", QString::fromStdString(settings_path(n))});
-    must(it.process->waitForStarted(), "an instance does not start");
-    must(net::run_until([&] { return get(n, "/healthz")->result.status == 200; }),
-         "an instance does not listen");
+    throw_unless(it.process->waitForStarted(), "an instance process did not start");
+    throw_unless(net::run_until([&] { return get(n, "/healthz")->result.status == 200; }),
+                 "an instance did not answer /healthz");
 }
 
 void process_group::signal_instance(int n, int signal)
@@ -143,8 +143,8 @@
 void process_group::wait_until_ready()
 {
     for (std::size_t n = 0; n < instances_.size(); ++n)
-        must(net::run_until([&] { return is_ready(static_cast<int>(n)); }),
-             "an instance does not become ready");
+        throw_unless(net::run_until([&] { return is_ready(static_cast<int>(n)); }),
+                     "an instance did not become ready");
     const auto sees_all = [&](std::size_t n)
     {
         std::size_t ready = 0;
@@ -154,7 +154,8 @@
         return ready == instances_.size();
     };
     for (std::size_t n = 0; n < instances_.size(); ++n)
-        must(net::run_until([&] { return sees_all(n); }), "the instances do not see each other");
+        throw_unless(net::run_until([&] { return sees_all(n); }),
+                     "the instances did not discover each other");
 }
 
 std::uint16_t process_group::port_of(int endpoint) const
@@ -202,7 +203,7 @@
 
 answer_ptr process_group::await(answer_ptr it)
 {
-    must(net::run_until([&] { return it->done; }), "a call is not answered");
+    throw_unless(net::run_until([&] { return it->done; }), "an HTTP call was not answered");
     return it;
 }
 
@@ -235,9 +236,9 @@
 void process_group::apply(const json& intent)
 {
     const auto plan = call(0, "/v1/intents", intent.dump(), {}, "operator-key");
-    must(plan->result.status == 200, plan->body.c_str());
+    throw_unless(plan->result.status == 200, plan->body.c_str());
     const auto confirmed = call(0, "/v1/plans", plan->body, {}, "operator-key");
-    must(confirmed->result.status == 200, confirmed->body.c_str());
+    throw_unless(confirmed->result.status == 200, confirmed->body.c_str());
     const auto revision = json::parse(confirmed->body).at("revision");
     const auto everywhere = [&]
     {
@@ -246,7 +247,7 @@
                 return false;
         return true;
     };
-    must(net::run_until(everywhere), "a configuration does not come into force");
+    throw_unless(net::run_until(everywhere), "a configuration was not applied by every instance");
 }
 
 json process_group::first_configuration() const
--- a/tests/support/process_group.hpp
+++ b/tests/support/process_group.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Real processes for tests: stand-ins and instances on free ports.
+/// Starts instances and stand-ins for the platform and the endpoints as real processes on free ports.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
 namespace runlink::tests
 {
 
-/// An answer to a test's call.
+/// The answer to an HTTP call of a test.
 struct http_answer
 {
     bool done = false;
@@ -31,7 +31,7 @@
 
 using answer_ptr = std::shared_ptr<http_answer>;
 
-/// The platform, endpoints and instances of one deployment. All of them are ended with the group.
+/// The platform, endpoints and instances of one deployment. The destructor kills all processes.
 class process_group
 {
 public:
@@ -44,7 +44,8 @@
     void kill_instance(int n);
     bool is_ready(int n);
     void wait_until_ready();
-    /// A change of the stand-in's switches. Endpoint -1 is the platform, -2 the plain service.
+    /// Changes the switches of a stand-in and returns its reply. Endpoint -1 is the platform, -2 the plain
+    /// service.
     nlohmann::json control(int endpoint, const nlohmann::json& switches);
     nlohmann::json counts(int endpoint);
     void list_instances(const nlohmann::json& list);
@@ -54,13 +55,13 @@
     answer_ptr call(int instance, const std::string& path, const std::string& body,
                     net::header_list headers = {}, const std::string& key = "office-key");
     answer_ptr get(int instance, const std::string& path, const std::string& key = "operator-key");
-    /// Plans and confirms an intent, and waits until every instance has it in force.
+    /// Plans and confirms an intent, and waits until every running instance has applied it.
     void apply(const nlohmann::json& intent);
     nlohmann::json status(int instance);
 
-    /// The settlements in the store, by bill.
+    /// Returns the settlement entries in the store, by bill.
     std::map<std::string, std::vector<core::ledger_entry>> bills();
-    /// Runs counted at the engines, by a part of the request's body.
+    /// Returns how often the engines and the plain service ran requests whose body contains `text`.
     int runs_of(const std::string& text);
 
     static std::string completion(const std::string& content, bool stream = false, int tokens = 4,
--- a/tests/support/rollout_fleet.cpp
+++ b/tests/support/rollout_fleet.cpp
@@ -16,11 +16,11 @@
 const version_id old_version{"v1"};
 const version_id new_version{"v2"};
 
-constexpr milliseconds warm_up{12000}; ///< before the order
-constexpr milliseconds look_interval{20};
-constexpr milliseconds tell_delay{30};
-constexpr milliseconds way{2};
-constexpr milliseconds news_delay{60}; ///< of the store's changes
+constexpr milliseconds warm_up{12000}; ///< load before the roll-out order
+constexpr milliseconds tick_interval{20};
+constexpr milliseconds announce_delay{30};
+constexpr milliseconds network_delay{2};
+constexpr milliseconds store_watch_delay{60}; ///< from a change in the store to the instances
 constexpr milliseconds rollback_time{5000};
 constexpr std::uint64_t bad_answers_at_first = 50;
 constexpr std::uint64_t stream_events = 8;
@@ -50,7 +50,7 @@
     return kinds()[it.value() % kinds().size()];
 }
 
-/// The shared part of a request's prompt.
+/// Names the prompt part that the request shares with others.
 std::string subject_of(flow_id it)
 {
     const auto& kind = kind_of(it);
@@ -126,7 +126,7 @@
     };
     to.ask = [this, n](const endpoint_entry& it)
     {
-        later(way,
+        later(network_delay,
               [this, n, id = it.id] {
                   instances_[static_cast<std::size_t>(n)].forwarder->on_probe_result(now_, id,
                                                                                      core::contact::answered);
@@ -145,7 +145,7 @@
     to.announce_session_run = [this, n](const session_run& it)
     {
         instances_[static_cast<std::size_t>(n)].runs.push_back(it);
-        tell(n);
+        announce_runs(n);
     };
     to.announce_prompt_sent = [this, n](const prompt_sent& it)
     {
@@ -225,7 +225,7 @@
     }
     if (is_new && fiftieth_bad_ && now_ > *fiftieth_bad_ + rollback_time)
         ++outcome_.late;
-    later(way,
+    later(network_delay,
           [this, n, it]
           {
               if (it->is_cancelled)
@@ -253,12 +253,12 @@
         last.ended = now_;
 }
 
-milliseconds rollout_fleet::reading_time(const send& of)
+milliseconds rollout_fleet::prefill_time(const send& of)
 {
     const auto& kind = kind_of(of.order.flow);
-    auto& kept = kept_[of.order.endpoint.id.str()];
-    const bool has_read = !kept.insert(subject_of(of.order.flow)).second;
-    const double tokens = kind.own + (has_read ? 0 : kind.shared);
+    auto& cached = cached_prompts_[of.order.endpoint.id.str()];
+    const bool is_cached = !cached.insert(subject_of(of.order.flow)).second;
+    const double tokens = kind.own + (is_cached ? 0 : kind.shared);
     const auto spread = std::lognormal_distribution<>{0, 0.4}(random_);
     return milliseconds{static_cast<milliseconds::rep>(5 + tokens / tokens_per_ms * spread)};
 }
@@ -281,11 +281,11 @@
 
 void rollout_fleet::answer(int n, const std::shared_ptr<send>& it)
 {
-    static const version_trouble sound;
+    static const version_trouble no_trouble;
     const auto* found = fault_of(*it);
-    const auto& fault = found == nullptr ? sound : *found;
+    const auto& fault = found == nullptr ? no_trouble : *found;
     auto& by = *instances_[static_cast<std::size_t>(n)].forwarder;
-    const auto time = reading_time(*it);
+    const auto time = prefill_time(*it);
     const auto end = [this, n](const send& of)
     { instances_[static_cast<std::size_t>(n)].sends.erase(of.order.id); };
     if (happens(fault.hanging))
@@ -342,18 +342,18 @@
     later(pace, [this, n, it, pace, event, is_bad] { stream(n, it, pace, event + 1, is_bad); });
 }
 
-// What instances tell each other
+// Messages between instances
 
-void rollout_fleet::tell(int n)
+void rollout_fleet::announce_runs(int n)
 {
     auto& from = instances_[static_cast<std::size_t>(n)];
-    if (std::exchange(from.is_telling, true))
+    if (std::exchange(from.is_announcement_scheduled, true))
         return;
-    later(tell_delay,
+    later(announce_delay,
           [this, n]
           {
               auto& by = instances_[static_cast<std::size_t>(n)];
-              by.is_telling = false;
+              by.is_announcement_scheduled = false;
               const auto runs = std::exchange(by.runs, {});
               send_datagram(n,
                             [this, runs](auto& peer)
@@ -395,15 +395,15 @@
         it.forwarder->on_order(now_, order_, now_);
 }
 
-void rollout_fleet::look_at_records(int n)
+void rollout_fleet::tick_instance(int n)
 {
     auto& by = *instances_[static_cast<std::size_t>(n)].forwarder;
     by.proven_current(now_);
     by.tick(now_);
     for (const auto& it : by.rollouts().due(now_))
-        later(way, [this, it, n] { write(it, n); });
+        later(network_delay, [this, it, n] { write(it, n); });
     tell_evidence(n);
-    later(look_interval, [this, n] { look_at_records(n); });
+    later(tick_interval, [this, n] { tick_instance(n); });
 }
 
 void rollout_fleet::write(const rollout_record& it, int by)
@@ -416,7 +416,7 @@
     outcome_.state = record_.state;
     writer.on_record(now_, record_);
     for (auto& to : instances_)
-        later(news_delay,
+        later(store_watch_delay,
               [this, &to, record = record_] { to.forwarder->rollouts().on_record(now_, record); });
     if (record_.state != rollout_state::succeeded)
         return;
@@ -430,7 +430,7 @@
     const auto end = now_ + warm_up + case_.length;
     arrive();
     for (int n = 0; n < case_.instances; ++n)
-        later(milliseconds{n % look_interval.count()}, [this, n] { look_at_records(n); });
+        later(milliseconds{n % tick_interval.count()}, [this, n] { tick_instance(n); });
     later(warm_up, [this] { order(); });
     for (const auto at : case_.written_again)
         later(warm_up + at, [this] { order(); });
--- a/tests/support/statement_fleet.cpp
+++ b/tests/support/statement_fleet.cpp
@@ -13,9 +13,9 @@
 {
 
 const core::service_id app{"app"};
-constexpr milliseconds told_slack{
-    500}; ///< an instance may act on what it has told its caller this much later
-constexpr milliseconds house_interval{1000};
+/// An instance may act this much later on what it has told its caller.
+constexpr milliseconds told_slack{500};
+constexpr milliseconds housekeeping_interval{1000};
 
 routing_table_ptr make_table()
 {
@@ -40,7 +40,7 @@
                                                  std::vector<account>{}, caller_limits{});
 }
 
-/// One request in five; see `make_table`.
+/// True for one request in five. These use the unsafe route, which has the higher priority.
 bool is_urgent(flow_id it)
 {
     return it.value() % 5 == 0;
@@ -89,13 +89,13 @@
 {
     instances_.resize(static_cast<std::size_t>(of.instances));
     for (int n = 0; n < of.instances; ++n)
-        begin_life(n);
+        start_instance(n);
 }
 
-void statement_fleet::begin_life(int n)
+void statement_fleet::start_instance(int n)
 {
     auto& it = at(n);
-    ++it.life;
+    ++it.generation;
     it.attempts.clear();
     record_.forget(n);
     forwarder_options options;
@@ -110,7 +110,7 @@
     it.forwarder->bounds().settle(now_);
     for (int e = 0; e < case_.endpoints; ++e)
         it.forwarder->on_endpoint(now_, entry(e));
-    if (it.life == 1)
+    if (it.generation == 1)
         return;
     const auto seed = (n + 1) % case_.instances;
     it.forwarder->on_limits_told(now_, {instance_id(seed), at(seed).forwarder->bounds().limits().all(now_)});
@@ -119,7 +119,7 @@
 
 void statement_fleet::restart(int n)
 {
-    begin_life(n);
+    start_instance(n);
 }
 
 void statement_fleet::pause(int n, milliseconds time)
@@ -162,13 +162,14 @@
         if (!why.why.retry_after)
             return;
         outcome_.put_off.push_back(*why.why.retry_after);
-        outcome_.back_at.push_back(std::chrono::floor<milliseconds>(now_ - began_) + *why.why.retry_after);
+        outcome_.back_at.push_back(std::chrono::floor<milliseconds>(now_ - started_at_) +
+                                   *why.why.retry_after);
     };
     to.announce_session_run = [](const session_run&) {};
     to.announce_prompt_sent = [](const prompt_sent&) {};
     to.announce_prompt_answered = [](const prompt_answered&) {};
     to.announce_limits = [this, n](const std::vector<core::instance_id>& ids,
-                                   const std::vector<places::limit_report>& it) { tell(n, ids, it); };
+                                   const std::vector<places::limit_report>& it) { send_limits(n, ids, it); };
     to.announce_leaving = [this, n](const leaving_notices& it)
     {
         send_datagram(
@@ -180,7 +181,7 @@
     return to;
 }
 
-// Time
+// Simulation loop
 
 milliseconds statement_fleet::up_to(milliseconds most)
 {
@@ -196,9 +197,9 @@
 void statement_fleet::later(int n, milliseconds after, std::function<void()> what)
 {
     later(after,
-          [this, n, life = at(n).life, what = std::move(what)]
+          [this, n, generation = at(n).generation, what = std::move(what)]
           {
-              if (at(n).life == life)
+              if (at(n).generation == generation)
                   what();
           });
 }
@@ -206,7 +207,7 @@
 statement_outcome statement_fleet::run()
 {
     const auto end = now_ + case_.length;
-    auto next_house = now_;
+    auto next_housekeeping = now_;
     while (now_ < end)
     {
         now_ += milliseconds{1};
@@ -217,16 +218,16 @@
             what();
         }
         arrive();
-        const bool keeps_house = now_ >= next_house;
-        if (keeps_house)
-            next_house = now_ + house_interval;
+        const bool is_housekeeping_due = now_ >= next_housekeeping;
+        if (is_housekeeping_due)
+            next_housekeeping = now_ + housekeeping_interval;
         for (auto& it : instances_)
         {
             if (it.paused_since)
                 continue;
             it.forwarder->proven_current(now_);
             it.forwarder->tick(now_);
-            if (keeps_house)
+            if (is_housekeeping_due)
                 it.forwarder->keep_house(now_);
         }
     }
@@ -288,7 +289,7 @@
     ++outcome_.arrivals[it->endpoint];
     if (happens(words.refused))
         return later(n, milliseconds{1}, [this, n, it] { refuse(n, it); });
-    outcome_.arrival_times[it->endpoint].push_back(std::chrono::floor<milliseconds>(now_ - began_));
+    outcome_.arrival_times[it->endpoint].push_back(std::chrono::floor<milliseconds>(now_ - started_at_));
     later(n, milliseconds{1} + up_to(case_.answer_time), [this, n, it] { answer(n, it); });
 }
 
@@ -337,8 +338,8 @@
     }
 }
 
-void statement_fleet::tell(int from, const std::vector<core::instance_id>& to,
-                           const std::vector<places::limit_report>& what)
+void statement_fleet::send_limits(int from, const std::vector<core::instance_id>& to,
+                                  const std::vector<places::limit_report>& what)
 {
     send_datagram(
         from,
--- a/tests/support/statement_fleet.hpp
+++ b/tests/support/statement_fleet.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Instances before endpoints that say of themselves, in their answers, what they bear; on a paused clock.
+/// Simulates, on a virtual clock, several instances that route to endpoints whose answers announce a request
+/// limit, a pause or a shutdown.
 #pragma once
 
 #include <cstdint>
@@ -21,44 +22,45 @@
 using core::milliseconds;
 using core::time_point;
 
-/// The value of a variable of the environment.
+/// Returns the integer value of an environment variable, or `otherwise` if it is unset.
 int number_from(const char* variable, int otherwise);
 
-/// The load, and what surrounds it.
+/// The size of the fleet, its load and the injected faults.
 struct statement_case
 {
     std::uint64_t seed = 1;
     int instances = 7;
     int endpoints = 8;
     double requests_per_s = 60;
-    double uneven = 0; ///< part of the requests that the first instance gets beyond its share
+    double uneven =
+        0; ///< share of the requests that goes to the first instance in addition to its even share
     milliseconds length{20'000};
     milliseconds answer_time{60}; ///< at most
-    milliseconds connect_time{0}; ///< at most, before a request is written
+    milliseconds connect_time{0}; ///< at most, before the request is written to the connection
     milliseconds datagram_delay{5};
-    double datagrams_lost = 0;
+    double datagrams_lost = 0; ///< share
     milliseconds last_resort_time = routing::directory_options{}.last_resort_time;
-    int repeats_one_in = 0; ///< answers that are failures, which are asked again elsewhere
+    int repeats_one_in = 0; ///< one answer in this many fails and is retried elsewhere; 0: none
 };
 
-/// What an endpoint says in its answers.
+/// What an endpoint announces in its answers.
 struct endpoint_words
 {
     std::optional<double> requests_per_s;
     bool is_leaving = false;
-    /// It refuses this part of the requests, and asks for rest with each refusal if there is one.
+    /// Share of the requests that the endpoint refuses. Each refusal carries `rest` if that is set.
     double refused = 0;
-    std::optional<milliseconds> rest;
+    std::optional<milliseconds> rest; ///< time for which the endpoint asks for no requests
 };
 
-/// What callers and endpoints saw.
+/// What the callers and endpoints observed.
 struct statement_outcome
 {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
-    std::map<int, std::uint64_t> arrivals; ///< by endpoint, of the whole run
-    /// What was broken, by rule, and how much was checked; see `statement_record`.
+    std::map<int, std::uint64_t> arrivals; ///< by endpoint, over the whole run
+    /// Violations by rule, and the number of checked cases; see `statement_record`.
     std::vector<std::string> limits_broken;
     std::vector<std::string> leaving_broken;
     std::vector<std::string> rests_broken;
@@ -67,10 +69,10 @@
     std::uint64_t rests = 0;
     std::uint64_t urgent_answered = 0;
     std::uint64_t urgent_refused = 0;
-    std::vector<core::duration> refused_after; ///< since the request came
-    std::vector<milliseconds> put_off;         ///< callers that were refused
-    std::vector<milliseconds> back_at;         ///< when they are to come back, since the start of the run
-    /// Arrivals at an endpoint later than so long after the start of the run.
+    std::vector<core::duration> refused_after; ///< from the arrival of a request to its refusal
+    std::vector<milliseconds> put_off;         ///< retry delays given to refused callers
+    std::vector<milliseconds> back_at;         ///< when refused callers may retry, since the start of the run
+    /// Counts accepted arrivals at an endpoint at or after `from`, measured from the start of the run.
     std::uint64_t arrivals_after(int endpoint, milliseconds from) const;
     std::map<int, std::vector<milliseconds>> arrival_times;
 };
@@ -82,17 +84,17 @@
     statement_fleet(const statement_fleet&) = delete;
     statement_fleet& operator=(const statement_fleet&) = delete;
 
-    /// Something that happens so long after the start.
+    /// Schedules `what` at a time after the start of the run. Call it before `run()`.
     void at(milliseconds when, std::function<void()> what) { later(when, std::move(what)); }
     endpoint_words& says(int endpoint) { return words_[endpoint]; }
-    /// The instance's process ends, and another one takes its place.
+    /// Replaces the process of an instance by a new one.
     void restart(int instance);
-    /// The instance stands still for so long.
+    /// Suspends the instance for `time`.
     void pause(int instance, milliseconds time);
     void set_load(double requests_per_s) { case_.requests_per_s = requests_per_s; }
-    /// The store says that the endpoint leaves, or has no entry of it.
+    /// Delivers a store entry that marks the endpoint as leaving.
     void tell_store_leaving(int endpoint);
-    /// The store lists another endpoint.
+    /// Adds another endpoint to the store.
     void add_endpoint();
     statement_outcome run();
 
@@ -110,21 +112,21 @@
     {
         std::unique_ptr<routing::request_forwarder> forwarder;
         std::map<core::attempt_id, attempt_ptr> attempts;
-        std::uint64_t life = 0;
+        std::uint64_t generation = 0; ///< number of processes started so far
         std::optional<time_point> paused_since;
     };
-    void begin_life(int n);
+    void start_instance(int n);
     routing::forwarder_hooks hooks(int n);
     void later(milliseconds after, std::function<void()> what);
-    /// The same, unless the instance ends before.
+    /// Schedules `what` unless the process of instance `n` is replaced before.
     void later(int n, milliseconds after, std::function<void()> what);
     void arrive();
     void on_start(int n, const routing::attempt_order& order);
     void write(int n, const attempt_ptr& it);
     void answer(int n, const attempt_ptr& it);
-    void tell(int from, const std::vector<core::instance_id>& to,
-              const std::vector<places::limit_report>& what);
-    /// One datagram to each other instance, as far as it arrives.
+    void send_limits(int from, const std::vector<core::instance_id>& to,
+                     const std::vector<places::limit_report>& what);
+    /// Sends one datagram to every other addressed instance; drops the share `datagrams_lost`.
     void send_datagram(int from, const std::function<bool(int)>& is_addressed,
                        const std::function<void(routing::request_forwarder&)>& to);
     void take_faults();
@@ -141,7 +143,7 @@
     std::map<int, endpoint_words> words_;
     statement_record record_;
     std::map<routing::flow_id, time_point> came_at_;
-    time_point began_ = now_;
+    time_point started_at_ = now_;
     std::uint64_t next_flow_ = 1;
     statement_outcome outcome_;
 };
--- a/tests/support/statement_record.cpp
+++ b/tests/support/statement_record.cpp
@@ -21,7 +21,7 @@
     auto& limit = limited_[endpoint];
     if (!what.requests_per_s)
     {
-        // Nobody can know of another limit before an answer names it.
+        // The limit is withdrawn; no instance can know of a new one before an answer names it.
         limit = {};
         return;
     }
--- a/tests/support/statement_record.hpp
+++ b/tests/support/statement_record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What endpoints said of themselves, to which instance, and what reached them after that.
+/// Records what endpoints announce to each instance, and checks the requests that they receive afterwards.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,19 @@
 namespace runlink::tests
 {
 
-/// On what endpoints rely that say what they bear.
+/// Tolerances for requests to an endpoint after it announced a limit, a pause or a shutdown.
 struct statement_bounds
 {
-    core::milliseconds contact{3000}; ///< for which a new limit binds nobody
-    core::milliseconds told{500};     ///< an instance may act on what it was told this much later
-    core::milliseconds window{4000};  ///< in which sends to an endpoint with a limit are counted
-    double overage = 1.5;             ///< of the limit
-    double slack = 5;                 ///< requests more
-    core::milliseconds drain{2000};   ///< for which an endpoint serves on after it said that it leaves
-    std::uint64_t most_in_rest = 2;   ///< requests, from when the instance may have been told
+    core::milliseconds contact{3000}; ///< grace period after an endpoint first names a limit
+    core::milliseconds told{500};     ///< time until an instance must act on an announcement
+    core::milliseconds window{4000};  ///< sliding window for counting requests to a limited endpoint
+    double overage = 1.5;             ///< permitted factor over the limit
+    double slack = 5;                 ///< permitted requests on top of that
+    core::milliseconds drain{2000};   ///< time for which a leaving endpoint still serves requests
+    std::uint64_t most_in_rest = 2;   ///< requests per instance in one rest period, counted from `told` on
 };
 
-/// What one answer says.
+/// The announcements in one answer.
 struct said_words
 {
     std::optional<double> requests_per_s;
@@ -35,7 +35,7 @@
     std::optional<core::milliseconds> rest;
 };
 
-/// What an endpoint got though it had said otherwise.
+/// A violation: an endpoint received a request contrary to its announcement.
 struct statement_fault
 {
     enum class rule
@@ -48,24 +48,25 @@
     std::string what;
 };
 
-/// Checks from the endpoints' side that instances keep to what they were told.
+/// Checks, as seen by the endpoints, that instances respect the announcements they received.
 class statement_record
 {
 public:
     explicit statement_record(statement_bounds bounds = {}) : bounds_{bounds} {}
 
-    /// An endpoint has answered an instance.
+    /// Records an answer of an endpoint to an instance.
     void answered(core::time_point now, const std::string& endpoint, int instance, const said_words& what);
-    /// A request that came to its instance at `came_at` has reached an endpoint, which names that limit now.
+    /// Records that a request reached an endpoint. `came_at` is when the instance received the request, and
+    /// `limit` is the limit that the endpoint currently announces.
     void arrived(core::time_point now, const std::string& endpoint, int instance, core::time_point came_at,
                  std::optional<double> limit);
-    /// The instance's process begins anew: it has been told nothing.
+    /// Forgets the announcements to an instance whose process was restarted.
     void forget(int instance);
-    /// What was broken since the last call.
+    /// Returns the violations since the last call.
     std::vector<statement_fault> take_faults();
 
-    /// How much the checks had to look at: sends to endpoints with a limit, instances and endpoints that
-    /// leave, rests.
+    /// Number of checked cases: requests to endpoints with a limit, pairs of an instance and a leaving
+    /// endpoint, and rest periods.
     std::uint64_t limited() const { return limited_count_; }
     std::uint64_t leaving() const { return leaving_count_; }
     std::uint64_t rests() const { return rest_count_; }
@@ -79,8 +80,8 @@
     struct limited_endpoint
     {
         std::optional<core::time_point> named_at;
-        std::map<int, core::time_point>
-            told; ///< instances, for the first time since an answer without a limit
+        /// When each instance was first told of a limit since the last answer without one.
+        std::map<int, core::time_point> told;
         std::deque<limited_arrival> arrivals;
         bool is_reported = false;
     };
@@ -99,7 +100,7 @@
 
     statement_bounds bounds_;
     std::map<std::string, limited_endpoint> limited_;
-    std::map<pair, core::time_point> told_leaving_; ///< for the first time
+    std::map<pair, core::time_point> told_leaving_; ///< first announcement
     std::map<pair, std::vector<rest>> rests_;
     std::uint64_t limited_count_ = 0;
     std::uint64_t leaving_count_ = 0;
--- a/tests/support/stream_script.hpp
+++ b/tests/support/stream_script.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What scripts of streams that must not be cut have in common.
+/// Shared parts of the scripts that test that streams are not cut.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
     return trace.find(what) != std::string::npos;
 }
 
-/// Two endpoints; the first of them runs a stream that has begun.
+/// A script with two endpoints, of which the first has begun to stream its answer.
 inline const std::string began = R"(table 1
 proven
 endpoint e1 pool
@@ -27,7 +27,7 @@
 endpoint e2 pool
 )";
 
-/// The first attempt answers the request whole.
+/// Checks that the first attempt delivers the complete answer.
 inline void check_whole(const std::string& trace)
 {
     INFO(trace);
--- a/tests/support/suspension.hpp
+++ b/tests/support/suspension.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Suspended machines, played with processes: a stop during which the steady clock of the process stands
-/// still, while the boot-time clock and the time of day go on.
+/// Simulates a suspended machine by a stopped process: its steady clock does not advance during the stop,
+/// while the boot-time clock and the time of day do.
 #pragma once
 
 #include <string>
@@ -14,9 +14,9 @@
 namespace runlink::tests
 {
 
-/// Lets the library be loaded into a process that is not started yet.
+/// Sets `LD_PRELOAD` so that a process that is not started yet loads the library.
 void load_shim(QProcess& into, const std::string& library);
-/// Takes so much off the steady clock of a stopped process, from the moment on at which it goes on.
+/// Sets the steady clock of a stopped process back by `stopped_for`, effective when the process resumes.
 void hold_steady_clock(pid_t process, core::milliseconds stopped_for);
 
 } // namespace runlink::tests
--- a/tests/support/suspension_shim.cpp
+++ b/tests/support/suspension_shim.cpp
@@ -1,4 +1,5 @@
-// Loaded into a process under test: its steady clock loses the time that it is told it was suspended for.
+// Preloaded into a process under test. Subtracts the suspended time, which arrives by signal, from the steady
+// clocks that the process reads.
 
 #include <atomic>
 #include <cstdint>
@@ -14,7 +15,7 @@
 constexpr std::int64_t ns_per_s = 1'000'000'000;
 constexpr std::int64_t ns_per_ms = 1'000'000;
 
-std::atomic<std::int64_t> held_ns{0};
+std::atomic<std::int64_t> suspended_ns{0};
 
 using clock_function = int (*)(clockid_t, timespec*);
 
@@ -24,12 +25,12 @@
     return it;
 }
 
-void on_suspended(int, siginfo_t* info, void*)
+void on_suspension_signal(int, siginfo_t* info, void*)
 {
-    held_ns += info->si_value.sival_int * ns_per_ms;
+    suspended_ns += info->si_value.sival_int * ns_per_ms;
 }
 
-/// Installs the handler before the program begins.
+/// Installs the signal handler before `main` starts.
 struct installation
 {
     installation()
@@ -38,7 +39,7 @@
         struct sigaction action
         {
         };
-        action.sa_sigaction = on_suspended;
+        action.sa_sigaction = on_suspension_signal;
         action.sa_flags = SA_SIGINFO | SA_RESTART;
         sigaction(runlink::tests::suspension_signal(), &action, nullptr);
     }
@@ -55,7 +56,7 @@
         clock == CLOCK_MONOTONIC || clock == CLOCK_MONOTONIC_COARSE || clock == CLOCK_MONOTONIC_RAW;
     if (out != 0 || !is_steady)
         return out;
-    const auto ns = to->tv_sec * ns_per_s + to->tv_nsec - held_ns;
+    const auto ns = to->tv_sec * ns_per_s + to->tv_nsec - suspended_ns;
     to->tv_sec = ns / ns_per_s;
     to->tv_nsec = ns % ns_per_s;
     return out;
--- a/tests/support/suspension_signal.hpp
+++ b/tests/support/suspension_signal.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The signal by which a process hears how long it was suspended.
+/// The signal that tells a process for how many milliseconds it was suspended.
 #pragma once
 
 #include <csignal>
--- a/tests/support/wait_for.hpp
+++ b/tests/support/wait_for.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Waits on the event loop for a state.
+/// Runs the Qt event loop until a condition holds or a timeout expires.
 #pragma once
 
 #include <chrono>
@@ -10,14 +10,14 @@
 namespace runlink::tests
 {
 
-/// Runs the event loop until the state holds, or for this long. Returns whether it holds.
-inline bool wait_for(const std::function<bool()>& state,
-                     std::chrono::milliseconds patience = std::chrono::seconds{10})
+/// Runs the event loop until the condition holds or the timeout expires. Returns whether it holds.
+inline bool wait_for(const std::function<bool()>& condition,
+                     std::chrono::milliseconds timeout = std::chrono::seconds{10})
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
-    while (!state() && std::chrono::steady_clock::now() < end)
+    const auto end = std::chrono::steady_clock::now() + timeout;
+    while (!condition() && std::chrono::steady_clock::now() < end)
         QCoreApplication::processEvents(QEventLoop::AllEvents, 10);
-    return state();
+    return condition();
 }
 
 } // namespace runlink::tests
