--- a/tests/support/crash_fleet.cpp
+++ b/tests/support/crash_fleet.cpp
@@ -183,9 +183,9 @@
 
 void crash_fleet::arrive()
 {
-    asked it;
+    caller_request it;
     it.is_popular = uniform() < case_.popular_share;
-    it.content = it.is_popular ? "popular" : "r" + std::to_string(next_++);
+    it.content = it.is_popular ? "popular" : "r" + std::to_string(next_id_++);
     ++outcome_.asked;
     request(it);
 }
@@ -194,16 +194,16 @@
 {
     if (now_ - started_at_ > case_.harmful_until)
         return;
-    asked it;
+    caller_request it;
     it.caller = caller;
     it.content = "harmful" + std::to_string(caller % case_.harmful_requests);
     request(it);
 }
 
-void crash_fleet::request(const asked& it)
+void crash_fleet::request(const caller_request& it)
 {
     auto& by = instances_[random_() % instances_.size()];
-    const flow_id flow{next_++};
+    const flow_id flow{next_id_++};
     inbound_request in;
     in.id = core::request_id{std::to_string(flow.value())};
     in.host = "h";
--- a/tests/support/crash_fleet.hpp
+++ b/tests/support/crash_fleet.hpp
@@ -71,7 +71,7 @@
     crash_outcome run();
 
 private:
-    struct asked
+    struct caller_request
     {
         std::string content; ///< equal for identical requests
         int caller = -1;     ///< index of the sender of a harmful request; -1: harmless request
@@ -83,7 +83,7 @@
     {
         std::uint64_t number = 0;
         routing::attempt_order order;
-        asked of;
+        caller_request of;
         int instance = 0;
         int generation = 0;
         bool is_cancelled = false;
@@ -107,7 +107,7 @@
     {
         std::unique_ptr<routing::request_forwarder> forwarder;
         std::map<core::attempt_id, send_ptr> sends;
-        std::map<routing::flow_id, asked> flows;
+        std::map<routing::flow_id, caller_request> flows;
         int generation = 0;
     };
 
@@ -122,7 +122,7 @@
 
     void arrive();
     void send_harmful(int caller);
-    void request(const asked& it);
+    void request(const caller_request& it);
     void on_request_end(int n, routing::flow_id flow, bool is_served, const routing::refusal* why);
     void on_start(int n, const routing::attempt_order& order);
     void reach(const send_ptr& it);
@@ -150,7 +150,7 @@
     std::map<std::string, std::vector<time_point>>
         ends_;                                        ///< times at which endpoints ended, by harmful content
     std::set<crashes::request_fingerprint> recorded_; ///< harmful fingerprints in the store
-    std::uint64_t next_ = 1;
+    std::uint64_t next_id_ = 1;
     std::uint64_t sends_ = 0; ///< number of attempts sent so far
     crash_outcome outcome_;
 };
--- a/tests/support/rollout_fleet.cpp
+++ b/tests/support/rollout_fleet.cpp
@@ -27,14 +27,15 @@
 constexpr int sessions = 3000;
 constexpr double tokens_per_ms = 40;
 
+/// A kind of request: its route, its prompt and its target latency.
 struct kind
 {
     std::string name;
     std::string path;
-    std::uint32_t shared = 0;
-    std::uint32_t own = 0;
-    int subjects = 1;
-    milliseconds target{};
+    std::uint32_t shared = 0; ///< prompt tokens shared with other requests of the subject
+    std::uint32_t own = 0;    ///< prompt tokens of this request only
+    int subjects = 1;         ///< number of different shared prompt parts
+    milliseconds target{};    ///< target latency
 };
 
 const std::vector<kind>& kinds()
--- a/tests/support/statement_fleet.cpp
+++ b/tests/support/statement_fleet.cpp
@@ -40,7 +40,7 @@
                                                  std::vector<account>{}, caller_limits{});
 }
 
-/// True for one request in five. These use the unsafe route, which has the higher priority.
+/// True for one request in five. These use the unsafe route with priority 0; see `make_table`.
 bool is_urgent(flow_id it)
 {
     return it.value() % 5 == 0;
--- a/tests/support/statement_fleet.hpp
+++ b/tests/support/statement_fleet.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// Simulates, on a virtual clock, several instances that route to endpoints whose answers announce a request
-/// limit, a pause or a shutdown.
+/// limit, a rest period or a shutdown.
 #pragma once
 
 #include <cstdint>
@@ -84,7 +84,7 @@
     statement_fleet(const statement_fleet&) = delete;
     statement_fleet& operator=(const statement_fleet&) = delete;
 
-    /// Schedules `what` at a time after the start of the run. Call it before `run()`.
+    /// Schedules `what` at `when` after the current virtual time, which is the start until `run()` is called.
     void at(milliseconds when, std::function<void()> what) { later(when, std::move(what)); }
     endpoint_words& says(int endpoint) { return words_[endpoint]; }
     /// Replaces the process of an instance by a new one.
--- a/tests/support/statement_record.hpp
+++ b/tests/support/statement_record.hpp
@@ -15,7 +15,7 @@
 namespace runlink::tests
 {
 
-/// Tolerances for requests to an endpoint after it announced a limit, a pause or a shutdown.
+/// Tolerances for requests to an endpoint after it announced a limit, a rest period or a shutdown.
 struct statement_bounds
 {
     core::milliseconds contact{3000}; ///< grace period after an endpoint first names a limit
--- a/tests/support/stream_script.hpp
+++ b/tests/support/stream_script.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Shared parts of the scripts that test that streams are not cut.
+/// Shared parts of the scripts for streams that must not be cut.
 #pragma once
 
 #include <catch2/catch.hpp>
