--- a/soak/caller.cpp
+++ b/soak/caller.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::string text_of(const call& it)
+std::string format_request(const call& it)
 {
     const auto names = platform::platform_headers();
     net::http_request_head head;
@@ -29,7 +29,7 @@
 
 caller::caller(std::uint16_t port) : port_{port}
 {
-    for (auto* it : {&deadline_, &leave_})
+    for (auto* it : {&deadline_, &leave_timer_})
     {
         it->setSingleShot(true);
         QObject::connect(it, &QTimer::timeout, it,
@@ -44,13 +44,13 @@
 
 void caller::start(const call& it, done_handler done)
 {
-    request_ = text_of(it);
+    request_ = format_request(it);
     outcome_ = {};
     events_.reset();
     done_ = std::move(done);
     deadline_.start(it.deadline);
-    if (it.leave_after.count() > 0)
-        leave_.start(it.leave_after);
+    if (it.close_after.count() > 0)
+        leave_timer_.start(it.close_after);
     reader_ = std::make_unique<net::http_response_reader>(net::http_response_reader::handlers{
         [this](const net::http_response_head& head)
         {
@@ -80,12 +80,13 @@
     if (socket_)
     {
         socket_->disconnect();
-        socket_.release()->deleteLater(); // it may be delivering a signal
+        socket_.release()->deleteLater(); // deleted later because the socket may be emitting a signal
     }
     socket_ = std::make_unique<QTcpSocket>();
     QObject::connect(socket_.get(), &QTcpSocket::connected, socket_.get(), [this] { on_connected(); });
-    QObject::connect(socket_.get(), &QTcpSocket::readyRead, socket_.get(), [this] { on_bytes(); });
-    QObject::connect(socket_.get(), &QTcpSocket::errorOccurred, socket_.get(), [this] { on_lost(); });
+    QObject::connect(socket_.get(), &QTcpSocket::readyRead, socket_.get(), [this] { on_readable(); });
+    QObject::connect(socket_.get(), &QTcpSocket::errorOccurred, socket_.get(),
+                     [this] { on_connection_error(); });
     socket_->connectToHost(QHostAddress::LocalHost, port_);
 }
 
@@ -95,7 +96,7 @@
         socket_->write(request_.data(), static_cast<qint64>(request_.size()));
 }
 
-void caller::on_bytes()
+void caller::on_readable()
 {
     const auto bytes = socket_->readAll();
     if (!done_)
@@ -106,7 +107,7 @@
         finish();
 }
 
-void caller::on_lost()
+void caller::on_connection_error()
 {
     if (!done_)
         return;
@@ -117,7 +118,7 @@
 void caller::finish()
 {
     deadline_.stop();
-    leave_.stop();
+    leave_timer_.stop();
     if (!std::exchange(keep_alive_, true))
     {
         socket_->disconnect();
--- a/soak/caller.hpp
+++ b/soak/caller.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One caller: it keeps its connection for many requests and reads answers as they come.
+/// A test caller that reuses its connection for many requests and reads responses incrementally.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
 namespace runlink::soak
 {
 
-/// What a caller asks.
+/// A request that a caller sends.
 struct call
 {
     std::string id;
     std::string path;
     std::string key;
-    std::string body;         ///< empty: one of its own
+    std::string body;         ///< if empty, the caller sends a default body derived from `id`
     bool picks_model = false; ///< the router may choose the model
     milliseconds deadline{3000};
-    /// The caller closes its connection after this long; 0: it waits until its deadline.
-    milliseconds leave_after{};
+    /// Time after which the caller closes its connection; 0 means that it waits until its deadline.
+    milliseconds close_after{};
 };
 
-/// Sends one request at a time, on its open connection for as long as there is one.
+/// Sends one request at a time. Reuses the open connection, or connects if there is none.
 class caller
 {
 public:
@@ -46,8 +46,8 @@
 private:
     void connect();
     void on_connected();
-    void on_bytes();
-    void on_lost();
+    void on_readable();
+    void on_connection_error();
     void finish();
 
     std::uint16_t port_;
@@ -58,7 +58,7 @@
     caller_outcome outcome_;
     done_handler done_;
     QTimer deadline_;
-    QTimer leave_;
+    QTimer leave_timer_;
     bool keep_alive_ = true;
 };
 
--- a/soak/cut_record.hpp
+++ b/soak/cut_record.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Streams that instances cut in the middle of their answers, beside changes of the configuration and at
-/// other times.
+/// Compares how often instances cut streams in the middle of a response shortly after configuration changes
+/// and at other times.
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
 using core::milliseconds;
 using core::time_point;
 
-/// The clock of the soak, the same as that of the instances.
+/// The current time, from the same clock that the instances use.
 inline time_point now()
 {
     return core::runtime_clock::now();
@@ -25,40 +25,42 @@
 /// Bounds of `cut_record`.
 struct cut_bounds
 {
-    /// A change may cut for this long after it was sent: until it is in force everywhere, and a second more.
-    milliseconds beside{4000};
-    /// Trouble explains cuts for this long after it.
-    milliseconds after_trouble{4000};
-    /// How much more often an instance may cut beside changes than at other times.
-    double most_times = 3;
+    /// Cuts within this time after a configuration was sent are attributed to it. Covers the time until the
+    /// configuration is in force on all instances, plus one second.
+    milliseconds change_window{4000};
+    /// Cuts are still attributed to a disturbance for this long after its end.
+    milliseconds after_disturbance{4000};
+    /// Maximum ratio of an instance's cut rate near changes to its cut rate at other times.
+    double max_rate_ratio = 3;
 };
 
-/// Counts, and judges how often each instance cuts when.
+/// Records cut streams and finds instances that cut too many of them near configuration changes.
 class cut_record
 {
 public:
     explicit cut_record(cut_bounds bounds = {}) : bounds_{bounds} {}
 
-    /// Judges these instances from then on.
+    /// Starts recording at `from`, for instances numbered from 0.
     void watch(time_point from, int instances)
     {
         from_ = from;
         instances_ = instances;
     }
     bool is_watching() const { return from_.has_value(); }
-    /// A configuration was sent.
-    void changed(time_point at) { changes_.push_back(at); }
-    /// Something unplanned befell an instance, or the store: it explains what the instance cuts meanwhile.
-    void troubled(time_point from, time_point until, std::optional<int> instance);
+    /// Records that a configuration was sent.
+    void add_change(time_point at) { changes_.push_back(at); }
+    /// Records an unplanned disturbance of one instance, or of all if `instance` is empty. Cuts during the
+    /// disturbance do not count.
+    void add_disturbance(time_point from, time_point until, std::optional<int> instance);
     void cut(time_point at, int instance, const std::string& id);
-    /// What an instance cut, and in how much time without trouble.
+    /// Request ids of the cut streams, and the undisturbed time in which they were cut.
     struct tally
     {
         std::vector<std::string> cuts;
         milliseconds time{};
     };
-    /// Without an instance: of all together.
-    tally beside_changes(time_point until, std::optional<int> instance) const
+    /// Totals over all instances if `instance` is empty.
+    tally near_changes(time_point until, std::optional<int> instance) const
     {
         return count(until, instance, true);
     }
@@ -66,11 +68,11 @@
     {
         return count(until, instance, false);
     }
-    /// Instances that cut more often beside changes.
+    /// Returns one message for each instance whose cut rate near changes exceeds the allowed ratio.
     std::vector<std::string> judge(time_point until) const;
 
 private:
-    struct trouble
+    struct disturbance
     {
         time_point from{};
         time_point until{};
@@ -82,16 +84,16 @@
         std::string id;
     };
 
-    tally count(time_point until, std::optional<int> instance, bool beside) const;
-    bool is_beside(time_point at) const;
-    bool is_troubled(time_point at, int instance) const;
+    tally count(time_point until, std::optional<int> instance, bool near_change) const;
+    bool is_near_change(time_point at) const;
+    bool is_disturbed(time_point at, int instance) const;
 
     cut_bounds bounds_;
     std::optional<time_point> from_;
     int instances_ = 0;
     std::vector<time_point> changes_;
-    std::vector<trouble> troubles_;
-    std::map<int, std::vector<cut_stream>> cuts_; ///< of instances
+    std::vector<disturbance> disturbances_;
+    std::map<int, std::vector<cut_stream>> cuts_; ///< by instance number
 };
 
 } // namespace runlink::soak
--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -35,8 +35,8 @@
     for (const auto& [key, e] : links_)
         all.push_back(e);
     for (const auto& e : all)
-        for (const bool to_far : {true, false})
-            pass(e, to_far);
+        for (const bool to_server : {true, false})
+            pass(e, to_server);
 }
 
 void fault_proxy::listen()
@@ -52,7 +52,7 @@
     on_reset();
     while (!links_.empty())
     {
-        const auto it = links_.begin()->second; // outlives its place in the map
+        const auto it = links_.begin()->second; // keeps the link alive after its removal from the map
         end(it, false);
     }
 }
@@ -62,87 +62,90 @@
     while (auto* socket = server_.nextPendingConnection())
     {
         auto it = std::make_shared<link>();
-        it->near.reset(socket);
+        it->client_side.reset(socket);
         socket->setParent(nullptr);
         if (fault_ == link_fault::refuse)
         {
             end(it, false);
             continue;
         }
-        it->far = std::make_unique<QTcpSocket>();
+        it->server_side = std::make_unique<QTcpSocket>();
         links_[it.get()] = it;
         const std::weak_ptr weak{it};
-        const auto on = [this, weak](bool to_far)
+        const auto on = [this, weak](bool to_server)
         {
             if (const auto e = weak.lock())
-                pass(e, to_far);
+                pass(e, to_server);
         };
         const auto on_end = [this, weak]
         {
             const auto e = weak.lock();
             if (e && links_.contains(e.get()) && fault_ != link_fault::silent)
-                end(e, e->near->error() == QAbstractSocket::RemoteHostClosedError ||
-                           e->far->error() == QAbstractSocket::RemoteHostClosedError);
+                end(e, e->client_side->error() == QAbstractSocket::RemoteHostClosedError ||
+                           e->server_side->error() == QAbstractSocket::RemoteHostClosedError);
         };
-        QObject::connect(it->near.get(), &QTcpSocket::readyRead, it->near.get(), [on] { on(true); });
-        QObject::connect(it->far.get(), &QTcpSocket::readyRead, it->far.get(), [on] { on(false); });
-        QObject::connect(it->far.get(), &QTcpSocket::connected, it->far.get(), [on] { on(true); });
-        for (auto* e : {it->near.get(), it->far.get()})
+        QObject::connect(it->client_side.get(), &QTcpSocket::readyRead, it->client_side.get(),
+                         [on] { on(true); });
+        QObject::connect(it->server_side.get(), &QTcpSocket::readyRead, it->server_side.get(),
+                         [on] { on(false); });
+        QObject::connect(it->server_side.get(), &QTcpSocket::connected, it->server_side.get(),
+                         [on] { on(true); });
+        for (auto* e : {it->client_side.get(), it->server_side.get()})
             QObject::connect(e, &QTcpSocket::disconnected, e, on_end);
-        QObject::connect(it->far.get(), &QTcpSocket::errorOccurred, it->far.get(), on_end);
-        it->far->connectToHost(QHostAddress::LocalHost, target_);
+        QObject::connect(it->server_side.get(), &QTcpSocket::errorOccurred, it->server_side.get(), on_end);
+        it->server_side->connectToHost(QHostAddress::LocalHost, target_);
     }
 }
 
-bool fault_proxy::holds(bool to_far) const
+bool fault_proxy::is_blocked(bool to_server) const
 {
-    return fault_ == link_fault::silent || (fault_ == link_fault::cut_answers && !to_far);
+    return fault_ == link_fault::silent || (fault_ == link_fault::cut_answers && !to_server);
 }
 
-void fault_proxy::pass(const link_ptr& it, bool to_far)
+void fault_proxy::pass(const link_ptr& it, bool to_server)
 {
-    if (holds(to_far) || it->far->state() != QTcpSocket::ConnectedState)
+    if (is_blocked(to_server) || it->server_side->state() != QTcpSocket::ConnectedState)
         return;
-    const auto bytes = (to_far ? it->near : it->far)->readAll();
+    const auto bytes = (to_server ? it->client_side : it->server_side)->readAll();
     if (bytes.isEmpty())
         return;
-    const auto after = distance + (fault_ == link_fault::delay ? delay : core::milliseconds{});
-    if (after.count() > 0 || !(to_far ? it->waiting_to_far : it->waiting_to_near).empty())
-        return write_later(it, to_far, after, bytes);
-    (to_far ? it->far : it->near)->write(bytes);
+    const auto after = base_delay + (fault_ == link_fault::delay ? delay : core::milliseconds{});
+    if (after.count() > 0 || !(to_server ? it->waiting_to_server : it->waiting_to_client).empty())
+        return write_later(it, to_server, after, bytes);
+    (to_server ? it->server_side : it->client_side)->write(bytes);
 }
 
-void fault_proxy::write_later(const link_ptr& it, bool to_far, core::milliseconds after,
+void fault_proxy::write_later(const link_ptr& it, bool to_server, core::milliseconds after,
                               const QByteArray& bytes)
 {
-    (to_far ? it->waiting_to_far : it->waiting_to_near).push_back(bytes);
+    (to_server ? it->waiting_to_server : it->waiting_to_client).push_back(bytes);
     QTimer::singleShot(after, &server_,
-                       [this, it, to_far]
+                       [this, it, to_server]
                        {
                            if (!links_.contains(it.get()))
                                return;
-                           auto& waiting = to_far ? it->waiting_to_far : it->waiting_to_near;
-                           (to_far ? it->far : it->near)->write(waiting.front());
+                           auto& waiting = to_server ? it->waiting_to_server : it->waiting_to_client;
+                           (to_server ? it->server_side : it->client_side)->write(waiting.front());
                            waiting.pop_front();
                        });
 }
 
-void fault_proxy::end(const link_ptr& it, bool in_order)
+void fault_proxy::end(const link_ptr& it, bool graceful)
 {
     links_.erase(it.get());
-    for (auto* socket : {it->near.get(), it->far.get()})
+    for (auto* socket : {it->client_side.get(), it->server_side.get()})
     {
         if (socket == nullptr)
             continue;
         socket->disconnect();
-        if (in_order)
+        if (graceful)
             socket->disconnectFromHost();
         else
             socket->abort();
     }
-    // One of the two may be delivering a signal now, and may have bytes to send.
+    // Keeps both sockets alive: one may be emitting a signal or have unsent bytes.
     constexpr core::milliseconds linger{1000};
-    QTimer::singleShot(linger, [it] { it->near->abort(); });
+    QTimer::singleShot(linger, [it] { it->client_side->abort(); });
 }
 
 } // namespace runlink::soak
--- a/soak/fault_proxy.hpp
+++ b/soak/fault_proxy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A TCP proxy on the loopback address that delays, resets, cuts one way and silences connections.
+/// A TCP proxy on the loopback address that delays, resets or blocks connections, in one or both directions.
 #pragma once
 
 #include <cstdint>
@@ -16,18 +16,18 @@
 namespace runlink::soak
 {
 
-/// What a proxy does with connections, those that are open included.
+/// A fault that a proxy applies to new and open connections.
 enum class link_fault
 {
     none,
-    refuse,      ///< new connections are reset
-    down,        ///< nothing listens, and what was open is reset: the process behind it has ended
-    silent,      ///< no byte passes either way
-    cut_answers, ///< requests pass, answers do not
-    delay,       ///< bytes pass later
+    refuse, ///< new connections are reset
+    down,   ///< the listener is closed and open connections are reset, as when the target process has ended
+    silent, ///< no bytes are forwarded in either direction
+    cut_answers, ///< requests are forwarded, responses are not
+    delay,       ///< bytes are forwarded after `fault_proxy::delay`
 };
 
-/// Passes connections on to one port.
+/// Forwards connections to one port on the loopback address.
 class fault_proxy
 {
 public:
@@ -37,34 +37,34 @@
     fault_proxy& operator=(const fault_proxy&) = delete;
 
     std::uint16_t port() const { return port_; }
-    /// What was held back goes on when the fault ends, unless its connection is gone.
+    /// Bytes held back by a fault are forwarded when it ends, if their connection is still open.
     void set_fault(link_fault it);
     link_fault fault() const { return fault_; }
     void reset_all();
-    /// Told by `reset_all`.
+    /// Called by `reset_all`.
     std::function<void()> on_reset = [] {};
 
     core::milliseconds delay{120};
-    core::milliseconds distance{0}; ///< by which bytes pass later at any time
+    core::milliseconds base_delay{0}; ///< added to every forwarded chunk, with or without a fault
 
 private:
     struct link
     {
-        std::unique_ptr<QTcpSocket> near;
-        std::unique_ptr<QTcpSocket> far;
-        std::deque<QByteArray> waiting_to_far;
-        std::deque<QByteArray> waiting_to_near;
+        std::unique_ptr<QTcpSocket> client_side;
+        std::unique_ptr<QTcpSocket> server_side;
+        std::deque<QByteArray> waiting_to_server;
+        std::deque<QByteArray> waiting_to_client;
     };
     using link_ptr = std::shared_ptr<link>;
 
     void accept();
-    /// Listens at the own port, sooner or later: another connection may be using it for a moment.
+    /// Listens on `port_`. Retries if the port is temporarily in use by another connection.
     void listen();
-    void pass(const link_ptr& it, bool to_far);
-    /// Behind all that waits already.
-    void write_later(const link_ptr& it, bool to_far, core::milliseconds after, const QByteArray& bytes);
-    bool holds(bool to_far) const;
-    void end(const link_ptr& it, bool in_order);
+    void pass(const link_ptr& it, bool to_server);
+    /// Queues bytes behind those that are already waiting.
+    void write_later(const link_ptr& it, bool to_server, core::milliseconds after, const QByteArray& bytes);
+    bool is_blocked(bool to_server) const;
+    void end(const link_ptr& it, bool graceful);
 
     std::uint16_t target_;
     std::uint16_t port_ = 0;
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -21,12 +21,13 @@
 
 constexpr int status_ok = 200;
 
-/// Ports below those that systems give to outgoing connections, so that a restarted instance finds its own
-/// free.
+/// Ports below the ephemeral range, so that no outgoing connection takes the port of an instance that
+/// restarts.
 constexpr std::uint16_t first_port = 12000;
 constexpr std::uint16_t last_port = 32000;
 
-/// A port that nobody uses now, for TCP and UDP. Soaks that run side by side begin at different ones.
+/// Returns a port that is currently free for TCP and UDP. The search starts at a port derived from the
+/// process id, so that concurrent soaks use different ports. Throws `std::runtime_error` if no port is free.
 std::uint16_t free_port()
 {
     static auto next = static_cast<std::uint16_t>(first_port + QCoreApplication::applicationPid() * 397 %
@@ -61,11 +62,11 @@
     {
         instance it;
         it.number = n;
-        it.callers = free_port();
-        it.readiness = free_port();
-        it.peers = free_port();
+        it.caller_port = free_port();
+        it.readiness_port = free_port();
+        it.peer_port = free_port();
         it.store = std::make_unique<fault_proxy>(store_port_);
-        it.store->distance = n % 2 == 0 ? milliseconds{} : options_.store_distance;
+        it.store->distance = n % 2 == 0 ? milliseconds{} : options_.store_delay;
         write_settings(it);
         instances_.push_back(std::move(it));
         start_instance(n);
@@ -87,7 +88,7 @@
 void fleet::write_configuration(std::vector<std::string> keys)
 {
     keys_ = std::move(keys);
-    checker_.cuts().changed(now());
+    checker_.cuts().add_change(now());
     store_.put(standins::configuration_key,
                standins::make_configuration(++configuration_, keys_, options_.stream_timeout));
 }
@@ -109,23 +110,23 @@
     it->server.on_ended = [this, e = it.get()](const auto& run)
     {
         checker_.ended_under(now(), run->request);
-        constexpr milliseconds entry_left{900};
-        constexpr milliseconds away{1300};
-        end_endpoint(*e, entry_left, away);
+        constexpr milliseconds entry_lifetime{900};
+        constexpr milliseconds downtime{1300};
+        end_endpoint(*e, entry_lifetime, downtime);
     };
     endpoints_.push_back(std::move(it));
 }
 
-void fleet::end_endpoint(proxied_endpoint& it, milliseconds entry_left, milliseconds away)
+void fleet::end_endpoint(proxied_endpoint& it, milliseconds entry_lifetime, milliseconds downtime)
 {
     if (it.proxy.fault() == link_fault::down)
         return;
     it.proxy.set_fault(link_fault::down);
     const bool keeps_id = ++it.lives % 2 == 0;
     if (!keeps_id)
-        QTimer::singleShot(entry_left, &context_,
+        QTimer::singleShot(entry_lifetime, &context_,
                            [this, id = it.server.id()] { store_.remove(standins::endpoint_key(id)); });
-    QTimer::singleShot(away, &context_,
+    QTimer::singleShot(downtime, &context_,
                        [this, &it, keeps_id]
                        {
                            it.server.begin_life(
@@ -148,9 +149,9 @@
     const nlohmann::json out{
         {"instance", {{"id", "i" + std::to_string(it.number)}, {"failure_domain", "n"}}},
         {"listen",
-         {{"callers", address(it.callers)},
-          {"readiness", address(it.readiness)},
-          {"peers", address(it.peers)}}},
+         {{"callers", address(it.caller_port)},
+          {"readiness", address(it.readiness_port)},
+          {"peers", address(it.peer_port)}}},
         {"store", address(it.store->port())},
         {"bounds", {{"stop_grace_s", static_cast<double>(options_.stop_grace.count()) / 1000}}}};
     std::ofstream{options_.directory + "/i" + std::to_string(it.number) + ".json"} << out.dump(2);
@@ -168,7 +169,7 @@
     it.process->setStandardErrorFile(QString::fromStdString(base + ".err"), QIODevice::Append);
     QObject::connect(it.process.get(), &QProcess::finished, it.process.get(),
                      [this, n](int code, QProcess::ExitStatus how) { on_ended(n, code, how); });
-    // Instances do not outlive the soak, also where that is killed itself.
+    // Instances end with the soak, even if the soak is killed.
     it.process->setChildProcessModifier([] { prctl(PR_SET_PDEATHSIG, SIGKILL); });
     if (!options_.shim.empty())
         tests::load_shim(*it.process, options_.shim);
@@ -209,7 +210,7 @@
         checker_.fail("exit: " + name + " ended by itself with code " + std::to_string(code));
     else if (how == QProcess::NormalExit && code != 0)
         checker_.fail("exit: " + name + " ended with code " + std::to_string(code) + " after SIGTERM");
-    // Restarted after a moment, as a platform would.
+    // Restarts the instance after a delay, as the platform does.
     constexpr milliseconds restart_delay{400};
     QTimer::singleShot(restart_delay, &context_, [this, n] { start_instance(n); });
 }
@@ -227,7 +228,7 @@
     hooks.body = [](std::string_view) {};
     hooks.end = [status, to] { to(*status == status_ok); };
     hooks.failed = [to](net::exchange_failure) { to(false); };
-    pool_.send({"127.0.0.1", instances_.at(static_cast<std::size_t>(n)).readiness},
+    pool_.send({"127.0.0.1", instances_.at(static_cast<std::size_t>(n)).readiness_port},
                net::write_request(head, ""), {}, std::move(hooks));
 }
 
--- a/soak/fleet.hpp
+++ b/soak/fleet.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The deployment under test: real instances as processes, stand-ins for store and endpoints, proxies between
-/// them.
+/// The deployment under test: instances as separate processes, stand-ins for the store and the endpoints, and
+/// proxies between them.
 #pragma once
 
 #include <cstdint>
@@ -21,19 +21,20 @@
 namespace runlink::soak
 {
 
-/// Where the fleet's programs and files are, and how large it is.
+/// Paths, size and time limits of a fleet.
 struct fleet_options
 {
-    std::string program;   ///< the daemon
-    std::string directory; ///< for settings and logs, one each an instance
-    std::string shim;      ///< see `tests::suspension`; empty: none
+    std::string program;   ///< path of the daemon
+    std::string directory; ///< holds one settings file and one log of each instance
+    std::string shim; ///< library loaded into the instances, see `tests::hold_steady_clock`; empty for none
     int instances = 5;
     int engines = 4;
     int services = 3;
-    milliseconds stop_grace{8000}; ///< above the time that callers wait, or streams are cut as planned
-    milliseconds stream_timeout = standins::stream_timeout; ///< of the route
-    /// Every second instance is so far from the store: proofs are old, and news late, when they arrive.
-    milliseconds store_distance{0};
+    milliseconds stop_grace{8000}; ///< longer than callers wait, else a planned stop cuts streams
+    milliseconds stream_timeout = standins::stream_timeout; ///< stream timeout of the route
+    /// Delay, in each direction, between the store and every second instance. Proofs of the keys are old and
+    /// changes late when they arrive there.
+    milliseconds store_delay{0};
 };
 
 /// An endpoint behind a proxy.
@@ -50,13 +51,13 @@
     }
 };
 
-/// One instance and its own way to the store.
+/// One instance and the proxy through which it reaches the store.
 struct instance
 {
     int number = 0;
-    std::uint16_t callers = 0;
-    std::uint16_t readiness = 0;
-    std::uint16_t peers = 0;
+    std::uint16_t caller_port = 0;
+    std::uint16_t readiness_port = 0;
+    std::uint16_t peer_port = 0;
     std::unique_ptr<fault_proxy> store;
     std::unique_ptr<QProcess> process;
     bool is_paused = false;
@@ -65,7 +66,7 @@
     bool is_running() const { return process && process->state() == QProcess::Running; }
 };
 
-/// Starts all of it, and ends only what it started.
+/// Starts the deployment on construction and kills the running instances on destruction.
 class fleet
 {
 public:
@@ -76,17 +77,19 @@
 
     void start_instance(int n);
     void signal_instance(int n, int signal);
-    /// Lets a stopped instance go on as a suspended machine would: its steady clock has not moved.
+    /// Continues a stopped instance. With a shim, its steady clock is held back by `stopped_for`, as on a
+    /// machine that was suspended.
     void resume_instance(int n, milliseconds stopped_for);
-    /// Whether the daemon says on its readiness address that it is ready.
+    /// Asks an instance's readiness address and passes whether it is ready; false if the request fails.
     void ask_readiness(int n, const std::function<void(bool)>& to);
     void add_endpoint(const std::string& service, const std::string& version);
     void set_leaving(proxied_endpoint& it);
-    /// The endpoint's process ends. Its entry runs out, and it is back at its address after that, under a new
-    /// id or as a later life of the old one.
-    void end_endpoint(proxied_endpoint& it, milliseconds entry_left, milliseconds away);
+    /// Simulates the end of an endpoint's process. After `downtime` it is back at its address, alternately as
+    /// a later life of the same id and under a new id. In the second case the old entry is removed after
+    /// `entry_lifetime`.
+    void end_endpoint(proxied_endpoint& it, milliseconds entry_lifetime, milliseconds downtime);
     void write_configuration(std::vector<std::string> keys);
-    /// Of the client account.
+    /// Keys of the client account.
     const std::vector<std::string>& keys() const { return keys_; }
 
     standins::kv_standin& store() { return store_; }
@@ -105,7 +108,7 @@
     std::vector<std::unique_ptr<proxied_endpoint>> endpoints_;
     std::vector<instance> instances_;
     net::connection_pool pool_;
-    QObject context_; ///< restarts that are due end with the fleet
+    QObject context_; ///< cancels pending restarts when the fleet is destroyed
     std::vector<std::string> keys_;
     int configuration_ = 0;
     int next_endpoint_ = 1;
--- a/soak/key_rotation.cpp
+++ b/soak/key_rotation.cpp
@@ -9,12 +9,12 @@
 {
 
 constexpr std::size_t series_length = 3;
-/// Two series: a key is known everywhere before it is used.
+/// Two series, so that a key is known to all instances before it is used.
 constexpr std::size_t keys_at_a_time = 2 * series_length;
 constexpr milliseconds first_wait{2000};
 constexpr milliseconds wait_in_series{600};
 constexpr milliseconds wait_between_series{9000};
-constexpr std::size_t removed_one_in = 8;
+constexpr std::size_t removed_key_interval = 8;
 
 std::string key_name(std::size_t n)
 {
@@ -44,10 +44,10 @@
 
 std::string key_rotation::pick(std::size_t by) const
 {
-    if (removed_ > 0 && by % removed_one_in == 0)
+    if (removed_ > 0 && by % removed_key_interval == 0)
         return keys_[removed_ - 1];
     const auto in_series = removed_ % series_length;
-    return keys_[removed_ + by / removed_one_in % (series_length - in_series)];
+    return keys_[removed_ + by / removed_key_interval % (series_length - in_series)];
 }
 
 void key_rotation::remove_next()
--- a/soak/key_rotation.hpp
+++ b/soak/key_rotation.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keys of the client account that are removed one after the other while streams of theirs are under way.
+/// Removes keys of the client account one after the other while streams that use them are active.
 #pragma once
 
 #include <functional>
@@ -13,18 +13,18 @@
 namespace runlink::soak
 {
 
-/// Removes some keys close together, waits until the configuration has been the same for long, and begins
-/// again. A key is added with each that goes.
+/// Removes a series of keys in short succession, leaves the configuration unchanged for a longer time, and
+/// repeats. Each removal also adds a new key.
 class key_rotation
 {
 public:
-    /// Adds the first keys.
+    /// Adds the initial keys to the configuration.
     key_rotation(fleet& on, promise_checker& checker);
     key_rotation(const key_rotation&) = delete;
     key_rotation& operator=(const key_rotation&) = delete;
 
     void begin(std::function<void(const std::string&)> on_removed);
-    /// One of those that go next; sometimes one that is gone.
+    /// Returns a key of the current series that is about to be removed, or sometimes the last removed one.
     std::string pick(std::size_t by) const;
 
 private:
@@ -32,7 +32,7 @@
 
     fleet& fleet_;
     promise_checker& checker_;
-    std::vector<std::string> keys_; ///< all there were; the oldest `removed_` are gone
+    std::vector<std::string> keys_; ///< all keys ever added; the first `removed_` have been removed
     std::size_t removed_ = 0;
     std::function<void(const std::string&)> on_removed_;
     QTimer timer_;
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,4 +1,4 @@
-// Runs the real daemon as separate processes, injects faults from outside, and checks the promises.
+// Runs the daemon as separate processes, injects external faults, and checks the promises.
 
 #include <iostream>
 
@@ -16,23 +16,23 @@
 void report(const soak::promise_checker& checker, const soak::scenario& run)
 {
     std::cout << checker.request_count() << " requests, " << checker.served_count() << " served";
-    for (const auto& [name, n] : checker.looked_at())
+    for (const auto& [name, n] : checker.check_counts())
         std::cout << ", " << name << " " << n;
     std::cout << "\n";
     if (checker.faults().empty())
         return;
-    for (const auto& it : run.story())
+    for (const auto& it : run.event_log())
         std::cout << "  " << it << "\n";
     for (const auto& it : checker.faults())
         std::cout << "BROKEN " << it << "\n";
 }
 
-/// Streams may last for their deadline, also under a planned stop.
+/// Lets streams last until their deadline, even during a planned stop.
 void set_for_long_streams(soak::scenario_options& options, soak::fleet_options& deployment)
 {
     deployment.stream_timeout = core::milliseconds{20000};
     deployment.stop_grace = core::milliseconds{17000};
-    deployment.store_distance = core::milliseconds{350};
+    deployment.store_delay = core::milliseconds{350};
     options.recovery += deployment.stop_grace;
 }
 
@@ -84,11 +84,11 @@
     cli.add_option("--harmful", options.harmful_callers,
                    "Callers of a request that ends each endpoint that runs it");
     cli.add_option("--suspend", deployment.shim,
-                   "Suspend instances too, with this library in them that holds their steady clock")
+                   "Also suspend instances; this library, loaded into them, stops their steady clock")
         ->check(CLI::ExistingFile);
     cli.add_flag("--statements", options.has_statements,
-                 "Endpoints that say in their answers what they bear");
-    cli.add_flag("--keep-logs", keep_logs, "Keep the instances' logs also when all is well");
+                 "Endpoints state limits, rest periods or their departure in responses");
+    cli.add_flag("--keep-logs", keep_logs, "Keep the instances' logs even if all checks pass");
     CLI11_PARSE(cli, argc, argv);
     const QCoreApplication application{argc, argv};
     options.suspends = !deployment.shim.empty();
--- a/soak/promise_checker.cpp
+++ b/soak/promise_checker.cpp
@@ -15,7 +15,7 @@
     return status >= first_success && status < first_redirect;
 }
 
-/// Statuses that promise that the request did not run and never will.
+/// Whether the status guarantees that the request did not run and will not run.
 bool promises_not_run(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
@@ -39,7 +39,7 @@
     it = std::max(it, until);
 }
 
-bool promise_checker::is_calm(time_point now, int instance) const
+bool promise_checker::is_undisturbed(time_point now, int instance) const
 {
     const auto found = disturbed_until_.find(instance);
     const auto own = found == disturbed_until_.end() ? time_point{} : found->second;
@@ -54,7 +54,7 @@
 void promise_checker::bad_answer(time_point now)
 {
     if (bad_ && ++bad_->bad_answers == bounds_.bad_answers)
-        bad_->found_by = now + bounds_.roll_back;
+        bad_->removal_deadline = now + bounds_.roll_back;
 }
 
 void promise_checker::check_exposure(time_point now, const std::string& version, int instance)
@@ -65,9 +65,9 @@
         ++bad_->all;
         bad_->exposed += is_bad ? 1 : 0;
     }
-    // A disturbance of the store or of the instance puts the time off.
-    if (is_bad && bad_->found_by && now > *bad_->found_by && is_calm(now, instance) &&
-        *bad_->found_by - bounds_.roll_back > all_disturbed_until_)
+    // After a disturbance of the store or of the instance the deadline does not apply.
+    if (is_bad && bad_->removal_deadline && now > *bad_->removal_deadline && is_undisturbed(now, instance) &&
+        *bad_->removal_deadline - bounds_.roll_back > all_disturbed_until_)
         ++bad_->late;
 }
 
@@ -82,7 +82,7 @@
     it.last_run = run;
     it.last_run_at = now;
     it.last_endpoint = by.id();
-    look("runs");
+    count_check("runs");
     if (it.is_harmful)
         check_harmful(now, it.instance);
     if (it.kind == request_kind::once && it.runs > 1)
@@ -93,15 +93,16 @@
         fail("refusal: " + run->request + " runs at " + by.id() + " after it was refused as not run");
     if (const auto removed = removed_keys_.find(it.key); removed != removed_keys_.end())
     {
-        look("removed keys");
+        count_check("removed keys");
         if (it.sent - removed->second > bounds_.key_revocation)
             fail("key: " + run->request + " ran with a key removed long before it was sent");
     }
-    if (const auto left = leaving_.find(by.id()); left != leaving_.end() && is_calm(now, it.instance))
+    if (const auto left = leaving_.find(by.id()); left != leaving_.end() && is_undisturbed(now, it.instance))
     {
-        look("leaving endpoints");
+        count_check("leaving endpoints");
         if (now - left->second > bounds_.drain)
-            fail("drain: " + run->request + " ran at " + by.id() + " long after that was leaving");
+            fail("drain: " + run->request + " ran at " + by.id() +
+                 " long after the endpoint was marked as leaving");
     }
     if (bad_ && run->path.starts_with("/llm/"))
         check_exposure(now, by.version(), it.instance);
@@ -111,7 +112,7 @@
                               std::optional<double> limit)
 {
     const auto found = requests_.find(request);
-    if (found == requests_.end() || !is_calm(now, found->second.instance))
+    if (found == requests_.end() || !is_undisturbed(now, found->second.instance))
         return;
     statements_.arrived(now, endpoint, found->second.instance, found->second.sent, limit);
     for (const auto& it : statements_.take_faults())
@@ -135,7 +136,7 @@
     if (promises_not_run(it.status))
     {
         of.refused = true;
-        look("refusals");
+        count_check("refusals");
         if (of.runs > 0)
             fail("refusal: " + id + " was refused with " + std::to_string(it.status) +
                  " as not run, it ran " + std::to_string(of.runs) + " times");
@@ -148,9 +149,9 @@
 
 void promise_checker::check_answer(const std::string& id, const request& of, const caller_outcome& it)
 {
-    look("answers");
+    count_check("answers");
     if (!it.has_digest)
-        fail("answer: " + id + " has a success without a digest");
+        fail("answer: " + id + " has a success status without a digest");
     if (of.kind == request_kind::stream)
         return check_stream(id, it);
     if (it.is_whole && it.body != standins::served_endpoint::body_of(id))
@@ -174,11 +175,11 @@
 {
     const auto& it = requests_.at(id);
     const auto run = it.last_run.lock();
-    if (it.kind == request_kind::once || it.runs == 0 || !is_calm(now, it.instance))
+    if (it.kind == request_kind::once || it.runs == 0 || !is_undisturbed(now, it.instance))
         return;
-    look("callers that left");
-    if (run && !run->is_over) // a run that nobody holds any more is over
-        fail("cancel: " + id + " is still run though its caller left");
+    count_check("callers that left");
+    if (run && !run->is_over) // an expired pointer means that the run is over
+        fail("cancel: " + id + " is still running though its caller closed the connection");
 }
 
 bool promise_checker::check_cut(time_point now, const std::string& id, const caller_outcome& it,
@@ -187,11 +188,11 @@
     const auto& of = requests_.at(id);
     if (of.kind != request_kind::stream || it.left || !is_success(it.status))
         return false;
-    look("ends of streams");
+    count_check("ends of streams");
     const auto removed = removed_keys_.find(of.key);
     if (removed != removed_keys_.end() && of.sent < removed->second &&
         now - removed->second > bounds_.key_revocation)
-        look("streams that outlived their keys");
+        count_check("streams that outlived their keys");
     if (it.is_whole || now - of.sent > allowed * bounds_.cut_share)
         return false;
     const auto run = of.last_run.lock();
@@ -199,55 +200,57 @@
     const bool was_broken = broken != broken_.end() && broken->second >= of.last_run_at;
     if (!run || (run->is_over && !run->was_left) || was_broken)
         return false;
-    look("cuts");
+    count_check("cuts");
     cuts_.cut(now, of.instance, id);
     return true;
 }
 
 void promise_checker::ended_under(time_point now, const std::string& id)
 {
-    look("ended endpoints");
+    count_check("ended endpoints");
     if (requests_.at(id).is_harmful)
-        ends_.push_back(now);
+        harmful_ends_.push_back(now);
 }
 
 void promise_checker::check_harmful(time_point now, int instance)
 {
-    look("harmful sends");
+    count_check("harmful sends");
     constexpr std::size_t third = 2;
-    if (ends_.size() > third && now - ends_[third] > bounds_.calm && is_calm(now, instance))
-        ++harmful_late_;
+    if (harmful_ends_.size() > third && now - harmful_ends_[third] > bounds_.calm &&
+        is_undisturbed(now, instance))
+        ++late_harmful_sends_;
 }
 
 void promise_checker::check_cut_rates(time_point now)
 {
     for (const auto& it : cuts_.judge(now))
         fail(it);
-    const auto beside = cuts_.beside_changes(now, std::nullopt);
+    const auto near = cuts_.near_changes(now, std::nullopt);
     const auto other = cuts_.at_other_times(now, std::nullopt);
-    look("calm ms beside changes", static_cast<std::uint64_t>(beside.time.count()));
-    look("calm ms at other times", static_cast<std::uint64_t>(other.time.count()));
-    look("calm cuts beside changes", beside.cuts.size());
-    look("calm cuts at other times", other.cuts.size());
+    count_check("calm ms beside changes", static_cast<std::uint64_t>(near.time.count()));
+    count_check("calm ms at other times", static_cast<std::uint64_t>(other.time.count()));
+    count_check("calm cuts beside changes", near.cuts.size());
+    count_check("calm cuts at other times", other.cuts.size());
     for (const auto* it :
          {"streams that outlived their keys", "calm ms beside changes", "calm ms at other times"})
-        if (looked_at_[it] == 0)
-            fail(std::string{"cuts: nothing to look at, "} + it);
+        if (check_counts_[it] == 0)
+            fail(std::string{"cuts: no observations of "} + it);
 }
 
 void promise_checker::finish(time_point now)
 {
     if (cuts_.is_watching())
         check_cut_rates(now);
-    look("sends to endpoints that named a limit", statements_.limited());
-    look("rests asked for", statements_.rests());
-    look("leaving told in answers", statements_.leaving());
-    if (harmful_late_ > bounds_.most_harmful_sends)
-        fail("harmful: a request that had ended three endpoints was sent " + std::to_string(harmful_late_) +
-             " times more; " + std::to_string(ends_.size()) + " ended in all");
+    count_check("sends to endpoints that named a limit", statements_.limited());
+    count_check("rests asked for", statements_.rests());
+    count_check("leaving told in answers", statements_.leaving());
+    if (late_harmful_sends_ > bounds_.max_harmful_sends)
+        fail("harmful: a request that had ended three endpoints was sent " +
+             std::to_string(late_harmful_sends_) + " times more; " + std::to_string(harmful_ends_.size()) +
+             " ended in all");
     if (!bad_)
         return;
-    look("bad versions");
+    count_check("bad versions");
     const auto allowed = bounds_.exposure_share * static_cast<double>(bad_->all) + bounds_.exposure_slack;
     if (static_cast<double>(bad_->exposed) > allowed)
         fail("exposure: " + std::to_string(bad_->exposed) + " of " + std::to_string(bad_->all) +
--- a/soak/promise_checker.hpp
+++ b/soak/promise_checker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checks the promises while the soak runs, from what callers and endpoints see.
+/// Checks during a soak, from the observations of callers and endpoints, that the system keeps its promises.
 #pragma once
 
 #include <cstdint>
@@ -17,47 +17,48 @@
 namespace runlink::soak
 {
 
-/// What a request allows.
+/// How a request may be retried.
 enum class request_kind
 {
-    safe,   ///< may run again
+    safe,   ///< may run more than once
     once,   ///< runs at most once
-    stream, ///< may go on elsewhere behind its last event
+    stream, ///< may resume at another endpoint after its last event
 };
 
-/// How a request ended for its caller.
+/// The result of a request as its caller saw it.
 struct caller_outcome
 {
-    int status = 0;        ///< 0: no head of an answer came
-    bool is_whole = false; ///< the answer ended as its framing says
-    bool left = false;     ///< the caller closed the connection itself
+    int status = 0;        ///< 0 if no response head was received
+    bool is_whole = false; ///< the response is complete according to its framing
+    bool left = false;     ///< the caller closed the connection, early or at its deadline
     std::string body;
-    std::vector<std::uint64_t> events; ///< ids, in order
+    std::vector<std::uint64_t> events; ///< event ids in the order received
     bool has_digest = false;
 };
 
-/// Bounds that the checks allow, as the deployment's settings say.
+/// Limits that the checks apply, according to the settings of the deployment.
 struct promise_bounds
 {
     milliseconds key_revocation{5000};
     milliseconds drain{2000};
-    /// An instance counts as undisturbed this long after a fault that concerns it.
+    /// An instance counts as undisturbed once this time has passed since the last fault that affected it.
     milliseconds calm{3000};
-    /// Half a second as promised, and another one for a machine with much to do.
+    /// The promised 500 ms, and another 500 ms for a busy machine.
     milliseconds cancel{1000};
     std::uint32_t stream_attempts = 3;
     double exposure_share = 0.15;
     double exposure_slack = 30;
-    /// A stream that ends after more of its time than this was not cut for nothing.
+    /// A stream that ends after more than this fraction of its allowed time does not count as cut.
     double cut_share = 0.7;
-    /// After so many bad answers of a version, and this long, it gets nothing any more.
+    /// A version receives no more requests `roll_back` after its bad response number `bad_answers`.
     std::uint64_t bad_answers = 50;
     milliseconds roll_back{5000};
-    /// Sends of a request that has ended three endpoints, from instances that must have heard of it.
-    std::uint64_t most_harmful_sends = 3;
+    /// Maximum number of sends of a request that has ended three endpoints, counted at instances that must
+    /// have been informed of this.
+    std::uint64_t max_harmful_sends = 3;
 };
 
-/// Collects events and tells which promise they break.
+/// Collects observations and reports which promises they violate.
 class promise_checker
 {
 public:
@@ -67,48 +68,50 @@
     void ran(time_point now, const standins::served_endpoint& by,
              const standins::served_endpoint::run_ptr& run);
     void ended(const std::string& id, const caller_outcome& it);
-    /// The caller of this request left a moment ago: nothing may be working for it any more.
+    /// Checks that a request is not running any more. Called some time after its caller closed the
+    /// connection.
     void check_left(time_point now, const std::string& id);
 
-    /// Looks at the end of a stream that was given so much time. Returns whether its instance cut it: in the
-    /// middle of its answer, with time left, while its endpoint was at work.
+    /// Checks the end of a stream whose time limit was `allowed`. Returns whether its instance cut it: in the
+    /// middle of the response, with time left, while its endpoint was still working on it.
     bool check_cut(time_point now, const std::string& id, const caller_outcome& it, milliseconds allowed);
-    /// Connections to the endpoint were broken.
+    /// Records that all connections to the endpoint were reset.
     void endpoint_broken(time_point now, const std::string& id) { broken_[id] = now; }
     cut_record& cuts() { return cuts_; }
     tests::statement_record& statements() { return statements_; }
-    /// A request has reached an endpoint, which may refuse it, and names that limit now.
+    /// Records that a request reached an endpoint, which may still refuse it. `limit` is the limit that the
+    /// endpoint states at this time.
     void arrived(time_point now, const std::string& endpoint, const std::string& request,
                  std::optional<double> limit);
-    /// An endpoint has answered a request, whatever it said.
+    /// Records that an endpoint responded to a request, with any status.
     void answered(time_point now, const std::string& endpoint, const std::string& request,
                   const tests::said_words& what);
 
-    /// A fault that concerns an instance, or all of them, lasts until then.
+    /// Records a fault that lasts until `until` and affects one instance, or all if `instance` is empty.
     void disturbed(time_point until, std::optional<int> instance);
     void key_removed(time_point now, const std::string& key) { removed_keys_[key] = now; }
     void endpoint_leaving(time_point now, const std::string& id) { leaving_.emplace(id, now); }
-    /// A version is being rolled out until then; it is bad.
+    /// Records that a bad version is being rolled out until `until`.
     void bad_version(time_point now, time_point until, const std::string& version);
-    /// This request and others of the same content end the endpoints that run them.
+    /// Marks a request that ends each endpoint that runs it, as does every request with the same content.
     void harmful(const std::string& id) { requests_.at(id).is_harmful = true; }
-    /// An endpoint ended under the request.
+    /// Records that an endpoint's process ended while it ran the request.
     void ended_under(time_point now, const std::string& id);
-    std::uint64_t ended_endpoints() const { return ends_.size(); }
-    /// That version gave a bad answer.
+    std::uint64_t ended_endpoints() const { return harmful_ends_.size(); }
+    /// Records a bad response of the bad version.
     void bad_answer(time_point now);
-    /// Whether nothing has disturbed all instances since then.
-    bool is_calm_since(time_point since) const { return all_disturbed_until_ < since; }
+    /// Whether no fault has affected all instances since `since`.
+    bool is_undisturbed_since(time_point since) const { return all_disturbed_until_ < since; }
     void fail(const std::string& what) { faults_.push_back(what); }
 
-    /// Checks what can only be said at the end.
+    /// Runs the checks that need the whole soak.
     void finish(time_point now);
     const std::vector<std::string>& faults() const { return faults_; }
     std::uint64_t request_count() const { return requests_.size(); }
     std::uint64_t served_count() const { return served_; }
-    /// How many runs each check looked at that had something to say: a check that looks at nothing cannot
-    /// fail.
-    const std::map<std::string, std::uint64_t>& looked_at() const { return looked_at_; }
+    /// Number of relevant observations of each check. A check without observations cannot fail, so its
+    /// success shows nothing.
+    const std::map<std::string, std::uint64_t>& check_counts() const { return check_counts_; }
 
 private:
     struct request
@@ -125,21 +128,21 @@
         std::string last_endpoint;
     };
 
-    bool is_calm(time_point now, int instance) const;
-    /// A request of the service that is rolled out ran on this version.
+    bool is_undisturbed(time_point now, int instance) const;
+    /// Counts a request to the service under roll-out that ran on `version`.
     void check_exposure(time_point now, const std::string& version, int instance);
-    /// The harmful request reached an endpoint.
+    /// Counts a harmful request that reached an endpoint.
     void check_harmful(time_point now, int instance);
     void check_answer(const std::string& id, const request& of, const caller_outcome& it);
     void check_stream(const std::string& id, const caller_outcome& it);
     void check_cut_rates(time_point now);
-    void look(const std::string& check, std::uint64_t n = 1) { looked_at_[check] += n; }
+    void count_check(const std::string& check, std::uint64_t n = 1) { check_counts_[check] += n; }
 
     promise_bounds bounds_;
     std::map<std::string, request> requests_;
     std::map<std::string, time_point> removed_keys_;
     std::map<std::string, time_point> leaving_;
-    std::map<std::string, time_point> broken_; ///< connections of endpoints, the last time
+    std::map<std::string, time_point> broken_; ///< when the connections of each endpoint were last reset
     cut_record cuts_;
     tests::statement_record statements_;
     std::map<int, time_point> disturbed_until_;
@@ -152,15 +155,16 @@
         std::uint64_t all = 0;
         std::uint64_t exposed = 0;
         std::uint64_t bad_answers = 0;
-        std::optional<time_point> found_by{}; ///< by then it has to be taken out
-        std::uint64_t late = 0;               ///< requests that it got after that
+        std::optional<time_point>
+            removal_deadline{}; ///< time by which the version must receive no more requests
+        std::uint64_t late = 0; ///< requests that it received after `removal_deadline`
     };
     std::optional<roll_out> bad_;
-    std::vector<time_point> ends_; ///< of endpoints, under the harmful request
-    std::uint64_t harmful_late_ = 0;
+    std::vector<time_point> harmful_ends_; ///< when endpoints ended while running a harmful request
+    std::uint64_t late_harmful_sends_ = 0;
     std::uint64_t served_ = 0;
     std::vector<std::string> faults_;
-    std::map<std::string, std::uint64_t> looked_at_;
+    std::map<std::string, std::uint64_t> check_counts_;
 };
 
 } // namespace runlink::soak
--- a/soak/rollout_trial.cpp
+++ b/soak/rollout_trial.cpp
@@ -11,8 +11,8 @@
 
 constexpr milliseconds allowed{16000};
 constexpr double ms_per_s = 1000;
-constexpr milliseconds look_interval{20};
-constexpr milliseconds drain_delay{3000}; ///< of the new endpoints, after a roll-back
+constexpr milliseconds poll_interval{20};
+constexpr milliseconds drain_delay{3000}; ///< from a roll-back until the new endpoints stop
 const char* const old_version = "v1";
 const char* const new_version = "v2";
 
@@ -44,8 +44,8 @@
         checker_.bad_version(began_, began_ + allowed, new_version);
     fleet_.store().put(standins::rollout_key,
                        standins::make_rollout(new_version, static_cast<double>(allowed.count()) / ms_per_s));
-    QObject::connect(&look_timer_, &QTimer::timeout, &context_, [this] { look(); });
-    look_timer_.start(look_interval);
+    QObject::connect(&poll_timer_, &QTimer::timeout, &context_, [this] { poll_status(); });
+    poll_timer_.start(poll_interval);
 }
 
 void rollout_trial::add_new_endpoints()
@@ -68,7 +68,7 @@
     { return now() >= began_ + kind_.from && happens(share) ? kind_.answers : it.server.answers; };
 }
 
-void rollout_trial::look()
+void rollout_trial::poll_status()
 {
     const auto record = fleet_.store().value(standins::rollout_status_key);
     if (!record.is_object() || record.value("state", "") == state_)
@@ -95,7 +95,7 @@
 void rollout_trial::finish()
 {
     const bool is_over = now() > began_ + allowed;
-    if (!is_over || !checker_.is_calm_since(began_))
+    if (!is_over || !checker_.is_undisturbed_since(began_))
         return;
     const std::string expected = kind_.is_bad() ? "rolled_back" : "succeeded";
     if (state_ != expected)
--- a/soak/rollout_trial.hpp
+++ b/soak/rollout_trial.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// One roll-out of a new version that is good, or bad in one of the ways that users name, and the platform's
-/// part in it.
+/// One roll-out of a new version, good or with one kind of defect reported by users, and the actions of the
+/// platform during the roll-out.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +15,36 @@
 namespace runlink::soak
 {
 
-/// What is wrong with a version.
+/// The defect of a version, if any.
 struct version_kind
 {
     std::string name;
     standins::served_endpoint::mode answers = standins::served_endpoint::mode::normal;
-    double share = 0;     ///< of its answers that are so
-    double times = 8;     ///< how much longer slow ones take
-    milliseconds from{};  ///< since the order
-    double old_share = 0; ///< of the old version's answers that are so at the same time
+    double share = 0;     ///< fraction of its responses with the defect
+    double times = 8;     ///< slowdown factor of slow responses
+    milliseconds from{};  ///< time after the start of the roll-out at which the defect begins
+    double old_share = 0; ///< fraction of the old version's responses with the defect at the same time
     bool is_bad() const { return share > 0; }
 };
 
-/// Orders the version when it is made. Stops the old endpoints once it is declared good, and lets the new
-/// ones leave some seconds after it was rolled back, as the platform does.
+/// Starts the roll-out on construction. Acts as the platform does: stops the old endpoints once the roll-out
+/// has succeeded, or the new ones some seconds after it was rolled back.
 class rollout_trial
 {
 public:
-    /// Faults of the platform and of other endpoints may come beside it.
+    /// Faults of the platform and of other endpoints may occur at the same time.
     rollout_trial(fleet& on, promise_checker& checker, std::uint64_t seed);
     rollout_trial(const rollout_trial&) = delete;
     rollout_trial& operator=(const rollout_trial&) = delete;
 
     const std::string& name() const { return kind_.name; }
-    /// Checks how it ended.
+    /// Checks that the roll-out ended as expected, if its time is over and nothing disturbed all instances.
     void finish();
 
 private:
     void add_new_endpoints();
     void misbehave(proxied_endpoint& it, double share);
-    void look();
+    void poll_status();
     void stop(const std::string& version);
     bool happens(double share) { return std::uniform_real_distribution<>{0, 1}(random_) < share; }
 
@@ -54,8 +54,8 @@
     version_kind kind_;
     time_point began_{};
     std::string state_;
-    QTimer look_timer_;
-    QObject context_; ///< what is still planned ends with the trial
+    QTimer poll_timer_;
+    QObject context_; ///< cancels pending timers when the trial is destroyed
 };
 
 } // namespace runlink::soak
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -12,17 +12,18 @@
 {
 
 constexpr int long_callers_per_instance = 6;
-constexpr milliseconds long_deadline{15000}; ///< a long stream with its pauses takes two thirds of it
-constexpr milliseconds call_pause{60};       ///< of a caller between two requests
+constexpr milliseconds long_deadline{15000}; ///< a long stream takes two thirds of this, pauses included
+constexpr milliseconds call_pause{60};       ///< between two requests of a caller
 constexpr milliseconds harmful_pause{40};
 constexpr milliseconds harmful_deadline{2500};
 constexpr milliseconds harmful_begin{2000};
-constexpr milliseconds probe_interval{100};  ///< between questions for readiness
-constexpr milliseconds start_patience{8000}; ///< machines with much to do start processes slowly
-/// A request counts as read when its bytes left this long before the connection ended.
+constexpr milliseconds probe_interval{100};  ///< between readiness requests
+constexpr milliseconds start_patience{8000}; ///< a busy machine starts processes slowly
+/// An instance is taken to have read a request if it was sent more than this before the connection closed.
 constexpr milliseconds read_slack{200};
-constexpr milliseconds left_check{1000};    ///< after a caller left
-constexpr milliseconds deadline_slack{100}; ///< an instance may see the deadline this much before the caller
+constexpr milliseconds left_check{1000}; ///< from the close by a caller to the check of its request
+constexpr milliseconds deadline_slack{
+    100}; ///< an instance may reach the deadline this much earlier than the caller
 
 } // namespace
 
@@ -38,10 +39,10 @@
 void scenario::note(const std::string& what)
 {
     const auto at = std::chrono::duration_cast<milliseconds>(now() - began_);
-    story_.push_back(std::to_string(at.count()) + " ms: " + what);
+    event_log_.push_back(std::to_string(at.count()) + " ms: " + what);
 }
 
-void scenario::later(milliseconds after, std::function<void()> what)
+void scenario::schedule(milliseconds after, std::function<void()> what)
 {
     QTimer::singleShot(after, &context_, std::move(what));
 }
@@ -56,7 +57,7 @@
 void scenario::wait_until_ready(milliseconds patience, const std::string& else_fault)
 {
     const auto end = now() + patience;
-    // Shared with questions whose answers come late, or never.
+    // Shared with readiness requests that may complete after this function returns.
     const auto ready = std::make_shared<std::set<int>>();
     while (ready->size() < fleet_.instances().size())
     {
@@ -77,10 +78,10 @@
 void scenario::run()
 {
     wait_until_ready(start_patience, "start: not all instances became ready");
-    note("all are ready");
+    note("all instances are ready");
     begin_load();
     if (options_.rolls_out)
-        begin_trial();
+        start_trial();
     if (options_.pauses)
         keys_->begin([this](const std::string& key) { note("key of the series removed: " + key); });
     if (statements_)
@@ -91,27 +92,27 @@
         wait(pick_time(100, 1500));
         if (options_.is_quiet)
             continue;
-        strike_one();
+        inject_fault();
         if (pick(4) == 0)
-            strike_one(); // at the same moment
+            inject_fault(); // a second fault at the same time
     }
-    wait(milliseconds{most_fault_ms});
+    wait(milliseconds{max_fault_ms});
     note("the last fault is over");
     wait_until_ready(options_.recovery, "recovery: not all instances became ready after the last fault");
     const auto served = checker_.served_count();
     wait(milliseconds{2000});
     if (checker_.served_count() == served)
-        checker_.fail("recovery: nothing is served after the last fault");
+        checker_.fail("recovery: no request is served after the last fault");
     is_loading_ = false;
     checker_.finish(now());
     const auto& said = checker_.statements();
     if (statements_ && said.limited() + said.rests() + said.leaving() == 0)
-        checker_.fail("statements: nothing to look at");
+        checker_.fail("statements: no observations");
     if (trial_)
         trial_->finish();
 }
 
-void scenario::begin_trial()
+void scenario::start_trial()
 {
     rollout_began_ = true;
     trial_ = std::make_unique<rollout_trial>(fleet_, checker_, options_.seed);
@@ -126,8 +127,8 @@
     for (const auto& it : fleet_.instances())
         for (int n = 0; n < options_.callers_per_instance; ++n)
         {
-            callers_.push_back(std::make_unique<caller>(it.callers));
-            call_again(callers_.size() - 1);
+            callers_.push_back(std::make_unique<caller>(it.caller_port));
+            start_call(callers_.size() - 1);
         }
     if (options_.pauses)
     {
@@ -135,16 +136,16 @@
         for (const auto& it : fleet_.instances())
             for (int n = 0; n < long_callers_per_instance; ++n)
             {
-                long_callers_.push_back(std::make_unique<caller>(it.callers));
-                call_long(long_callers_.size() - 1);
+                long_callers_.push_back(std::make_unique<caller>(it.caller_port));
+                start_long_call(long_callers_.size() - 1);
             }
     }
     harmful_callers_.resize(static_cast<std::size_t>(options_.harmful_callers));
     for (int n = 0; n < options_.harmful_callers; ++n)
-        later(harmful_begin, [this, n] { call_harmful(n); });
+        schedule(harmful_begin, [this, n] { start_harmful_call(n); });
 }
 
-void scenario::call_again(std::size_t n)
+void scenario::start_call(std::size_t n)
 {
     if (!is_loading_)
         return;
@@ -160,11 +161,11 @@
     it.picks_model = kind == request_kind::stream;
     it.deadline = pick_time(600, 3000);
     if (pick(12) == 0)
-        it.leave_after = pick_time(5, 60);
-    send(*callers_[n], it, instance, kind, [this, n] { call_again(n); });
+        it.close_after = pick_time(5, 60);
+    send(*callers_[n], it, instance, kind, [this, n] { start_call(n); });
 }
 
-void scenario::call_long(std::size_t n)
+void scenario::start_long_call(std::size_t n)
 {
     if (!is_loading_)
         return;
@@ -175,7 +176,7 @@
     it.picks_model = true;
     it.deadline = long_deadline;
     send(*long_callers_[n], it, static_cast<int>(n) / long_callers_per_instance, request_kind::stream,
-         [this, n] { call_long(n); });
+         [this, n] { start_long_call(n); });
 }
 
 void scenario::send(caller& by, const call& it, int instance, request_kind kind, std::function<void()> then)
@@ -186,17 +187,17 @@
              [this, it, instance, sent_at, then = std::move(then)](const caller_outcome& outcome)
              {
                  on_outcome(it, instance, sent_at, outcome);
-                 later(call_pause, then);
+                 schedule(call_pause, then);
              });
 }
 
-void scenario::call_harmful(int n)
+void scenario::start_harmful_call(int n)
 {
     if (!is_loading_)
         return;
     const auto instance = pick_instance();
     auto& to = harmful_callers_.at(static_cast<std::size_t>(n));
-    to = std::make_unique<caller>(fleet_.instances().at(static_cast<std::size_t>(instance)).callers);
+    to = std::make_unique<caller>(fleet_.instances().at(static_cast<std::size_t>(instance)).caller_port);
     call it;
     it.id = "h" + std::to_string(next_request_++);
     it.path = std::string{"/llm/"} + standins::served_endpoint::harmful_text;
@@ -210,7 +211,7 @@
               [this, n, id = it.id](const caller_outcome& outcome)
               {
                   checker_.ended(id, outcome);
-                  later(harmful_pause, [this, n] { call_harmful(n); });
+                  schedule(harmful_pause, [this, n] { start_harmful_call(n); });
               });
 }
 
@@ -218,21 +219,21 @@
 {
     checker_.ended(of.id, it);
     if (it.left)
-        later(left_check, [this, id = of.id] { checker_.check_left(now(), id); });
+        schedule(left_check, [this, id = of.id] { checker_.check_left(now(), id); });
     const auto allowed = std::min(of.deadline, fleet_.options().stream_timeout);
     if (options_.pauses && checker_.check_cut(now(), of.id, it, allowed))
     {
         note(of.id + " was cut at i" + std::to_string(instance));
         if (options_.only_planned)
-            checker_.fail("cut: " + of.path + " in the middle at i" + std::to_string(instance) +
-                          ", its endpoint was at work");
+            checker_.fail("cut: " + of.path + " in the middle of its response at i" +
+                          std::to_string(instance) + " while its endpoint was working on it");
     }
     const auto took = now() - sent_at;
     const bool was_read = took > read_slack;
     const bool had_time = took < of.deadline - deadline_slack;
     if (options_.only_planned && !it.left && !it.is_whole && was_read && had_time)
         checker_.fail("lost: " + of.path + " was cut at i" + std::to_string(instance) +
-                      " though nothing but planned work went on");
+                      " during planned work only");
 }
 
 } // namespace runlink::soak
--- a/soak/scenario.hpp
+++ b/soak/scenario.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One seeded run: callers that never stop, faults that come in series and overlap, and the checks.
+/// One seeded run: continuous load, random faults that may overlap, and the checks.
 #pragma once
 
 #include <cstdint>
@@ -18,67 +18,68 @@
 namespace runlink::soak
 {
 
-/// How long a run takes and what may happen in it.
+/// Duration of a run, its load and its faults.
 struct scenario_options
 {
     std::uint64_t seed = 1;
     milliseconds length{20000};
-    /// After the last fault: everybody must be served again within this.
+    /// Time after the last fault within which all instances must be ready again.
     milliseconds recovery{8000};
     int callers_per_instance = 4;
-    /// Only stops, reloads and changes that operators plan: then nothing at all may be cut.
+    /// Only planned stops, reloads and changes by operators. No response may be cut in this case.
     bool only_planned = false;
-    /// Streams of many seconds that pause, and keys that are removed in series meanwhile.
+    /// Adds streams that last many seconds and pause, while keys are removed in series.
     bool pauses = false;
-    /// A roll-out from the beginning, of one kind of version or another (see `rollout_trial`).
+    /// Starts a roll-out at the beginning, of a version chosen by the seed (see `rollout_trial`).
     bool rolls_out = false;
-    /// Nothing happens but load, and the roll-out if there is one.
+    /// No faults, only load and the roll-out if there is one.
     bool is_quiet = false;
-    /// Callers that send a request which ends each endpoint that runs it, again and again at any instance.
+    /// Number of callers that repeatedly send, to random instances, a request that ends each endpoint that
+    /// runs it.
     int harmful_callers = 0;
-    /// Endpoints say in their answers what they bear.
+    /// Endpoints state limits, rest periods or their departure in responses.
     bool has_statements = false;
-    /// Instances are suspended: their steady clock stands still meanwhile.
+    /// Instances are suspended, with their steady clock stopped in the meantime.
     bool suspends = false;
 };
 
-/// Drives a fleet.
+/// Runs load and faults against a fleet.
 class scenario
 {
 public:
     scenario(scenario_options options, fleet& on, promise_checker& checker);
 
-    /// Runs to the end on the event loop of the thread.
+    /// Runs an event loop on the calling thread until the scenario is complete.
     void run();
-    /// What happened when, for whoever traces a failure.
-    const std::vector<std::string>& story() const { return story_; }
-    /// The version that was rolled out from the beginning, or empty.
+    /// Log of events with their times, for diagnosing a failure.
+    const std::vector<std::string>& event_log() const { return event_log_; }
+    /// The kind of version that is rolled out from the beginning; empty if there is none.
     std::string rolled_out() const { return trial_ ? trial_->name() : std::string{}; }
 
 private:
-    static constexpr int most_fault_ms = 3500;
+    static constexpr int max_fault_ms = 3500;
 
     struct fault
     {
         const char* name;
         bool is_planned;
-        std::function<void()> strike;
+        std::function<void()> inject;
     };
 
     void wait(milliseconds it);
     void wait_until_ready(milliseconds patience, const std::string& else_fault);
     void begin_load();
-    void begin_trial();
-    void call_again(std::size_t caller);
-    void call_long(std::size_t caller);
+    void start_trial();
+    void start_call(std::size_t caller);
+    void start_long_call(std::size_t caller);
     void send(caller& by, const call& it, int instance, request_kind kind, std::function<void()> then);
-    void call_harmful(int n);
+    void start_harmful_call(int n);
     void on_outcome(const call& of, int instance, time_point sent_at, const caller_outcome& it);
     std::vector<fault> make_faults();
-    void strike_one();
+    void inject_fault();
     void note(const std::string& what);
-    /// Unplanned, of an instance, or of the store.
-    void trouble(milliseconds time, std::optional<int> instance);
+    /// Records an unplanned disturbance that starts now: of one instance, or of all if `instance` is empty.
+    void record_disturbance(milliseconds time, std::optional<int> instance);
 
     // Faults
     void stop_instance();
@@ -90,17 +91,17 @@
     void break_store();
     void break_endpoint_link();
     void reset_endpoint_links();
-    void misbehave();
+    void misbehave_endpoint();
     void drain_endpoint();
     void remove_key();
     void forget_history();
     void roll_out_bad_version();
 
     int pick(int below) { return static_cast<int>(random_() % static_cast<std::uint64_t>(below)); }
-    milliseconds pick_time(int least, int most) { return milliseconds{least + pick(most - least)}; }
+    milliseconds pick_time(int min_ms, int max_ms) { return milliseconds{min_ms + pick(max_ms - min_ms)}; }
     int pick_instance() { return pick(static_cast<int>(fleet_.instances().size())); }
     proxied_endpoint& pick_endpoint();
-    void later(milliseconds after, std::function<void()> what);
+    void schedule(milliseconds after, std::function<void()> what);
 
     scenario_options options_;
     fleet& fleet_;
@@ -109,8 +110,8 @@
     std::vector<std::unique_ptr<caller>> callers_;
     std::vector<std::unique_ptr<caller>> harmful_callers_;
     std::vector<std::unique_ptr<caller>> long_callers_;
-    QObject context_; ///< ends what is still planned with the scenario
-    std::vector<std::string> story_;
+    QObject context_; ///< cancels pending timers when the scenario is destroyed
+    std::vector<std::string> event_log_;
     time_point began_{};
     std::uint64_t next_request_ = 1;
     bool key_b_removed_ = false;
--- a/soak/scenario_faults.cpp
+++ b/soak/scenario_faults.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr int least_fault_ms = 400;
-/// A roll-out shorter than this gives the new version nothing; longer ones do not fit into a run.
+constexpr int min_fault_ms = 400;
+/// A shorter roll-out sends no requests to the new version; a longer one does not fit into a run.
 constexpr double rollout_s = 12;
 
 } // namespace
@@ -29,32 +29,32 @@
             {"store", false, [this] { break_store(); }},
             {"way to an endpoint", false, [this] { break_endpoint_link(); }},
             {"resets", false, [this] { reset_endpoint_links(); }},
-            {"endpoint misbehaves", false, [this] { misbehave(); }},
+            {"endpoint misbehaves", false, [this] { misbehave_endpoint(); }},
             {"history gone", false, [this] { forget_history(); }},
             {"bad version", false, [this] { roll_out_bad_version(); }},
             {"suspension", false, [this] { suspend_instance(); }}};
 }
 
-void scenario::strike_one()
+void scenario::inject_fault()
 {
     auto all = make_faults();
     if (options_.only_planned)
         std::erase_if(all, [](const auto& it) { return !it.is_planned; });
     const auto& it = all[static_cast<std::size_t>(pick(static_cast<int>(all.size())))];
     note(it.name);
-    it.strike();
+    it.inject();
 }
 
-void scenario::trouble(milliseconds time, std::optional<int> instance)
+void scenario::record_disturbance(milliseconds time, std::optional<int> instance)
 {
     checker_.disturbed(now() + time, instance);
-    checker_.cuts().troubled(now(), now() + time, instance);
+    checker_.cuts().add_disturbance(now(), now() + time, instance);
 }
 
 void scenario::stop_instance()
 {
     const auto n = pick_instance();
-    // A paused process reads its signals when it goes on.
+    // A paused process handles the signal when it continues.
     fleet_.signal_instance(n, SIGTERM);
     checker_.disturbed(now() + fleet_.options().stop_grace, n);
 }
@@ -63,16 +63,16 @@
 {
     const auto n = pick_instance();
     fleet_.signal_instance(n, SIGKILL);
-    trouble(milliseconds{1000}, n);
+    record_disturbance(milliseconds{1000}, n);
 }
 
 void scenario::pause_instance()
 {
     const auto n = pick_instance();
-    const auto time = pick_time(least_fault_ms, 2 * most_fault_ms / 3);
+    const auto time = pick_time(min_fault_ms, 2 * max_fault_ms / 3);
     fleet_.signal_instance(n, SIGSTOP);
-    trouble(time, n);
-    later(time, [this, n] { fleet_.signal_instance(n, SIGCONT); });
+    record_disturbance(time, n);
+    schedule(time, [this, n] { fleet_.signal_instance(n, SIGCONT); });
 }
 
 void scenario::suspend_instance()
@@ -80,10 +80,10 @@
     if (!options_.suspends)
         return pause_instance();
     const auto n = pick_instance();
-    const auto time = pick_time(least_fault_ms, 2 * most_fault_ms);
+    const auto time = pick_time(min_fault_ms, 2 * max_fault_ms);
     fleet_.signal_instance(n, SIGSTOP);
-    trouble(time, n);
-    later(time, [this, n, time] { fleet_.resume_instance(n, time); });
+    record_disturbance(time, n);
+    schedule(time, [this, n, time] { fleet_.resume_instance(n, time); });
 }
 
 void scenario::reload_instance()
@@ -97,20 +97,20 @@
                                      link_fault::delay};
     const auto n = pick_instance();
     auto& proxy = *fleet_.instances().at(static_cast<std::size_t>(n)).store;
-    const auto time = pick_time(least_fault_ms, most_fault_ms);
+    const auto time = pick_time(min_fault_ms, max_fault_ms);
     proxy.set_fault(faults[pick(4)]);
-    trouble(time, n);
-    later(time, [&proxy] { proxy.set_fault(link_fault::none); });
+    record_disturbance(time, n);
+    schedule(time, [&proxy] { proxy.set_fault(link_fault::none); });
 }
 
 void scenario::break_store()
 {
     using mode = standins::kv_standin::mode;
     constexpr mode modes[] = {mode::silent, mode::refuse, mode::lose_answers};
-    const auto time = pick_time(least_fault_ms, most_fault_ms);
+    const auto time = pick_time(min_fault_ms, max_fault_ms);
     fleet_.store().answers = modes[pick(3)];
-    trouble(time, std::nullopt);
-    later(time, [this] { fleet_.store().answers = mode::normal; });
+    record_disturbance(time, std::nullopt);
+    schedule(time, [this] { fleet_.store().answers = mode::normal; });
 }
 
 proxied_endpoint& scenario::pick_endpoint()
@@ -123,10 +123,10 @@
     constexpr link_fault faults[] = {link_fault::refuse, link_fault::silent, link_fault::cut_answers,
                                      link_fault::delay};
     auto& it = pick_endpoint();
-    const auto time = pick_time(least_fault_ms, most_fault_ms);
+    const auto time = pick_time(min_fault_ms, max_fault_ms);
     it.proxy.set_fault(faults[pick(4)]);
-    checker_.disturbed(now() + time, std::nullopt); // a close may be late on such a way
-    later(time, [&it] { it.proxy.set_fault(link_fault::none); });
+    checker_.disturbed(now() + time, std::nullopt); // a close may arrive late over a faulty connection
+    schedule(time, [&it] { it.proxy.set_fault(link_fault::none); });
 }
 
 void scenario::reset_endpoint_links()
@@ -134,13 +134,13 @@
     pick_endpoint().proxy.reset_all();
 }
 
-void scenario::misbehave()
+void scenario::misbehave_endpoint()
 {
     using mode = standins::served_endpoint::mode;
     constexpr mode modes[] = {mode::refuse, mode::fail, mode::lose, mode::hang};
     auto& it = pick_endpoint().server;
     it.answers = modes[pick(4)];
-    later(pick_time(least_fault_ms, most_fault_ms), [&it] { it.answers = mode::normal; });
+    schedule(pick_time(min_fault_ms, max_fault_ms), [&it] { it.answers = mode::normal; });
 }
 
 void scenario::drain_endpoint()
@@ -150,7 +150,7 @@
         if (!it->leaving && it->server.version() == "v1")
             ready.push_back(it.get());
     auto& it = *ready[static_cast<std::size_t>(pick(static_cast<int>(ready.size())))];
-    fleet_.add_endpoint(it.server.service(), "v1"); // its replacement comes first
+    fleet_.add_endpoint(it.server.service(), "v1"); // adds the replacement first
     fleet_.set_leaving(it);
 }
 
@@ -167,7 +167,7 @@
 
 void scenario::forget_history()
 {
-    checker_.cuts().troubled(now(), now(), std::nullopt);
+    checker_.cuts().add_disturbance(now(), now(), std::nullopt);
     fleet_.store().forget_history();
 }
 
--- a/soak/statement_series.cpp
+++ b/soak/statement_series.cpp
@@ -7,17 +7,17 @@
 namespace
 {
 
-constexpr int least_wait_ms = 500;
-constexpr int most_wait_ms = 2500;
-constexpr int least_limit_ms = 5000;
-constexpr int most_limit_ms = 11'000;
-/// Until the store has the news of an endpoint that leaves.
-constexpr int least_news_ms = 3000;
-constexpr int most_news_ms = 9000;
-constexpr int least_rest_ms = 1500;
-constexpr int most_rest_ms = 4000;
-constexpr unsigned limit_steps = 30; ///< of a tenth of a request a second
-constexpr double step = 0.1;
+constexpr int min_wait_ms = 500;
+constexpr int max_wait_ms = 2500;
+constexpr int min_limit_ms = 5000;
+constexpr int max_limit_ms = 11'000;
+/// Delay until the store entry of a leaving endpoint says that it is leaving.
+constexpr int min_announcement_ms = 3000;
+constexpr int max_announcement_ms = 9000;
+constexpr int min_rest_ms = 1500;
+constexpr int max_rest_ms = 4000;
+constexpr unsigned limit_steps = 30; ///< in units of `step`
+constexpr double step = 0.1;         ///< requests per second
 
 } // namespace
 
@@ -27,15 +27,15 @@
     QObject::connect(&timer_, &QTimer::timeout, &timer_, [this] { say_next(); });
 }
 
-milliseconds statement_series::pick_time(int least, int most)
+milliseconds statement_series::pick_time(int min_ms, int max_ms)
 {
-    return milliseconds{least + static_cast<int>(random_() % static_cast<unsigned>(most - least))};
+    return milliseconds{min_ms + static_cast<int>(random_() % static_cast<unsigned>(max_ms - min_ms))};
 }
 
 void statement_series::begin(std::function<void(const std::string&)> on_said)
 {
     on_said_ = std::move(on_said);
-    timer_.start(pick_time(least_wait_ms, most_wait_ms));
+    timer_.start(pick_time(min_wait_ms, max_wait_ms));
 }
 
 void statement_series::say_next()
@@ -50,7 +50,7 @@
         case 1: want_rest(it); break;
         default: name_limit(it);
         }
-    timer_.start(pick_time(least_wait_ms, most_wait_ms));
+    timer_.start(pick_time(min_wait_ms, max_wait_ms));
 }
 
 void statement_series::name_limit(proxied_endpoint& it)
@@ -58,7 +58,7 @@
     const auto limit = static_cast<double>(random_() % limit_steps) * step;
     it.server.says.requests_per_s = limit;
     on_said_(it.server.id() + " names a limit of " + std::to_string(limit));
-    QTimer::singleShot(pick_time(least_limit_ms, most_limit_ms), &context_,
+    QTimer::singleShot(pick_time(min_limit_ms, max_limit_ms), &context_,
                        [this, &it]
                        {
                            it.server.says.requests_per_s.reset();
@@ -71,15 +71,15 @@
     fleet_.add_endpoint(it.server.service(), "v1");
     it.server.says.is_leaving = true;
     on_said_(it.server.id() + " says that it leaves");
-    QTimer::singleShot(pick_time(least_news_ms, most_news_ms), &context_,
+    QTimer::singleShot(pick_time(min_announcement_ms, max_announcement_ms), &context_,
                        [this, &it] { fleet_.set_leaving(it); });
 }
 
 void statement_series::want_rest(proxied_endpoint& it)
 {
-    it.server.says.rest = pick_time(least_rest_ms, most_rest_ms);
+    it.server.says.rest = pick_time(min_rest_ms, max_rest_ms);
     on_said_(it.server.id() + " wants rest");
-    QTimer::singleShot(pick_time(least_limit_ms, most_limit_ms), &context_,
+    QTimer::singleShot(pick_time(min_limit_ms, max_limit_ms), &context_,
                        [this, &it]
                        {
                            it.server.says.rest.reset();
--- a/soak/statement_series.hpp
+++ b/soak/statement_series.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Endpoints that say in their answers what they bear, one after the other, beside whatever else happens.
+/// Makes endpoints state limits, rest periods or their departure in responses, alongside other faults.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 namespace runlink::soak
 {
 
-/// Lets endpoints say something for a while. It draws from a seed of its own, so that a scenario's faults are
-/// the same with and without it.
+/// Makes random endpoints send statements for a limited time. Uses its own random generator, so that a
+/// scenario's faults are the same with and without statements.
 class statement_series
 {
 public:
@@ -28,15 +28,16 @@
 private:
     void say_next();
     void name_limit(proxied_endpoint& it);
-    /// It says so long before its entry does. Another one comes first.
+    /// Adds a replacement, then makes the endpoint announce in its responses that it is leaving, seconds
+    /// before its entry in the store does.
     void leave(proxied_endpoint& it);
     void want_rest(proxied_endpoint& it);
-    milliseconds pick_time(int least, int most);
+    milliseconds pick_time(int min_ms, int max_ms);
 
     fleet& fleet_;
     std::mt19937_64 random_;
     std::function<void(const std::string&)> on_said_;
-    QObject context_; ///< what is still planned ends with the series
+    QObject context_; ///< cancels pending timers when the series is destroyed
     QTimer timer_;
 };
 
--- a/soak/suspension_test.cpp
+++ b/soak/suspension_test.cpp
@@ -1,6 +1,7 @@
-// A machine was suspended for some seconds. Its steady clock stood still meanwhile, as that of Linux does, so
-// that the instance took its proof of the keys for 1.5 s old and told no "woke" line: a key that had been
-// removed 5.5 s before admitted a request, where 5 s is the bound for every instance, reached or not.
+// Guards against accepting a removed key after the machine was suspended. The steady clock of Linux stops
+// during suspension, so an instance took its proof of the keys for 1.5 s old, logged no "woke" line, and
+// admitted a request with a key removed 5.5 s earlier. The bound is 5 s for every instance, whether or not
+// the store can reach it.
 
 #include <catch2/catch.hpp>
 
@@ -48,13 +49,14 @@
         milliseconds{8000}));
 
     auto& instance = on.instances().front();
-    instance.store->set_fault(link_fault::silent); // the news does not come first
+    instance.store->set_fault(
+        link_fault::silent); // keeps the removal from reaching the instance before the request
     on.signal_instance(0, SIGSTOP);
     on.write_configuration({"key-a"});
     wait(suspended_for);
     on.resume_instance(0, suspended_for);
 
-    caller from{instance.callers};
+    caller from{instance.caller_port};
     call it;
     it.id = "r1";
     it.path = "/look/r1";
@@ -64,5 +66,5 @@
     from.start(it, [&](const caller_outcome& e) { outcome = e; });
     REQUIRE(tests::wait_for([&] { return outcome.has_value(); }, milliseconds{5000}));
     CHECK(outcome->status == 503);
-    CHECK(checker.looked_at().count("runs") == 0);
+    CHECK(checker.check_counts().count("runs") == 0);
 }
