--- a/soak/caller.cpp
+++ b/soak/caller.cpp
@@ -35,7 +35,7 @@
         QObject::connect(it, &QTimer::timeout, it,
                          [this]
                          {
-                             outcome_.left = true;
+                             outcome_.caller_closed = true;
                              keep_alive_ = false;
                              finish();
                          });
--- a/soak/cut_record.cpp
+++ b/soak/cut_record.cpp
@@ -56,7 +56,7 @@
     return out;
 }
 
-std::vector<std::string> cut_record::judge(time_point until) const
+std::vector<std::string> cut_record::find_violations(time_point until) const
 {
     std::vector<std::string> out;
     for (const auto& [instance, cuts] : cuts_)
--- a/soak/cut_record.hpp
+++ b/soak/cut_record.hpp
@@ -69,7 +69,7 @@
         return count(until, instance, false);
     }
     /// Returns one message for each instance whose cut rate near changes exceeds the allowed ratio.
-    std::vector<std::string> judge(time_point until) const;
+    std::vector<std::string> find_violations(time_point until) const;
 
 private:
     struct disturbance
--- a/soak/cut_record_test.cpp
+++ b/soak/cut_record_test.cpp
@@ -26,7 +26,7 @@
         for (int n = 0; n < times; ++n)
             record.cut(begin + after, 0, "r");
     }
-    std::size_t faults() const { return record.judge(begin + length).size(); }
+    std::size_t faults() const { return record.find_violations(begin + length).size(); }
 };
 
 constexpr milliseconds near_change{1000};
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -66,7 +66,7 @@
         it.readiness_port = free_port();
         it.peer_port = free_port();
         it.store = std::make_unique<fault_proxy>(store_port_);
-        it.store->distance = n % 2 == 0 ? milliseconds{} : options_.store_delay;
+        it.store->base_delay = n % 2 == 0 ? milliseconds{} : options_.store_delay;
         write_settings(it);
         instances_.push_back(std::move(it));
         start_instance(n);
--- a/soak/promise_checker.cpp
+++ b/soak/promise_checker.cpp
@@ -43,7 +43,7 @@
 {
     const auto found = disturbed_until_.find(instance);
     const auto own = found == disturbed_until_.end() ? time_point{} : found->second;
-    return now - std::max(own, all_disturbed_until_) > bounds_.calm;
+    return now - std::max(own, all_disturbed_until_) > bounds_.settle_time;
 }
 
 void promise_checker::bad_version(time_point now, time_point until, const std::string& version)
@@ -129,7 +129,7 @@
 void promise_checker::ended(const std::string& id, const caller_outcome& it)
 {
     auto& of = requests_.at(id);
-    if (it.left)
+    if (it.caller_closed)
         return;
     if (!of.is_harmful && it.body.find("request_harmful") != std::string::npos)
         fail("condemned: " + id + " was refused as harmful");
@@ -186,7 +186,7 @@
                                 milliseconds allowed)
 {
     const auto& of = requests_.at(id);
-    if (of.kind != request_kind::stream || it.left || !is_success(it.status))
+    if (of.kind != request_kind::stream || it.caller_closed || !is_success(it.status))
         return false;
     count_check("ends of streams");
     const auto removed = removed_keys_.find(of.key);
@@ -216,14 +216,14 @@
 {
     count_check("harmful sends");
     constexpr std::size_t third = 2;
-    if (harmful_ends_.size() > third && now - harmful_ends_[third] > bounds_.calm &&
+    if (harmful_ends_.size() > third && now - harmful_ends_[third] > bounds_.settle_time &&
         is_undisturbed(now, instance))
         ++late_harmful_sends_;
 }
 
 void promise_checker::check_cut_rates(time_point now)
 {
-    for (const auto& it : cuts_.judge(now))
+    for (const auto& it : cuts_.find_violations(now))
         fail(it);
     const auto near = cuts_.near_changes(now, std::nullopt);
     const auto other = cuts_.at_other_times(now, std::nullopt);
--- a/soak/promise_checker.hpp
+++ b/soak/promise_checker.hpp
@@ -28,9 +28,9 @@
 /// The result of a request as its caller saw it.
 struct caller_outcome
 {
-    int status = 0;        ///< 0 if no response head was received
-    bool is_whole = false; ///< the response is complete according to its framing
-    bool left = false;     ///< the caller closed the connection, early or at its deadline
+    int status = 0;             ///< 0 if no response head was received
+    bool is_whole = false;      ///< the response is complete according to its framing
+    bool caller_closed = false; ///< the caller closed the connection, early or at its deadline
     std::string body;
     std::vector<std::uint64_t> events; ///< event ids in the order received
     bool has_digest = false;
@@ -42,7 +42,7 @@
     milliseconds key_revocation{5000};
     milliseconds drain{2000};
     /// An instance counts as undisturbed once this time has passed since the last fault that affected it.
-    milliseconds calm{3000};
+    milliseconds settle_time{3000};
     /// The promised 500 ms, and another 500 ms for a busy machine.
     milliseconds cancel{1000};
     std::uint32_t stream_attempts = 3;
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -218,7 +218,7 @@
 void scenario::on_outcome(const call& of, int instance, time_point sent_at, const caller_outcome& it)
 {
     checker_.ended(of.id, it);
-    if (it.left)
+    if (it.caller_closed)
         schedule(left_check, [this, id = of.id] { checker_.check_left(now(), id); });
     const auto allowed = std::min(of.deadline, fleet_.options().stream_timeout);
     if (options_.pauses && checker_.check_cut(now(), of.id, it, allowed))
@@ -231,7 +231,7 @@
     const auto took = now() - sent_at;
     const bool was_read = took > read_slack;
     const bool had_time = took < of.deadline - deadline_slack;
-    if (options_.only_planned && !it.left && !it.is_whole && was_read && had_time)
+    if (options_.only_planned && !it.caller_closed && !it.is_whole && was_read && had_time)
         checker_.fail("lost: " + of.path + " was cut at i" + std::to_string(instance) +
                       " during planned work only");
 }
