--- a/soak/promise_checker.cpp
+++ b/soak/promise_checker.cpp
@@ -65,7 +65,8 @@
         ++bad_->all;
         bad_->exposed += is_bad ? 1 : 0;
     }
-    // After a disturbance of the store or of the instance the deadline does not apply.
+    // Requests do not count as late while a disturbance of the store or of the instance may delay the
+    // removal.
     if (is_bad && bad_->removal_deadline && now > *bad_->removal_deadline && is_undisturbed(now, instance) &&
         *bad_->removal_deadline - bounds_.roll_back > all_disturbed_until_)
         ++bad_->late;
