--- a/standins/endpoint_standin.cpp
+++ b/standins/endpoint_standin.cpp
@@ -13,9 +13,9 @@
 
 const net::header_list json_type{{"Content-Type", "application/json"}};
 constexpr std::size_t max_cached_prefixes = 256;
-constexpr int max_counted_body = 200;
+constexpr int max_counted_body_bytes = 200;
 
-std::string text_of(const QByteArray& it)
+std::string to_std_string(const QByteArray& it)
 {
     return it.toStdString();
 }
@@ -47,14 +47,14 @@
         return request.method == "POST" ? control(exchange) : show_control(exchange);
     if (request.path == "/v1/orders")
         return order(exchange);
-    if (refuses(exchange))
+    if (try_refuse(exchange))
         return;
     if (request.path == "/v1/chat/completions")
         return complete(exchange);
     serve(exchange);
 }
 
-bool endpoint_standin::refuses(const exchange_ptr& exchange)
+bool endpoint_standin::try_refuse(const exchange_ptr& exchange)
 {
     const bool full = running_ >= switches_.slots && static_cast<int>(waiting_.size()) >= switches_.queue;
     if (!switches_.refuse && !full)
@@ -63,23 +63,23 @@
     return true;
 }
 
-void endpoint_standin::count_run(const exchange_ptr& exchange, const std::string& what)
+void endpoint_standin::count_run(const exchange_ptr& exchange, const std::string& version)
 {
     ++runs_;
     ++runs_by_request_[exchange->request().header("X-Request-Id")];
-    ++runs_by_body_[text_of(exchange->request().body).substr(0, max_counted_body)];
-    ++runs_by_version_[what];
+    ++runs_by_body_[to_std_string(exchange->request().body).substr(0, max_counted_body_bytes)];
+    ++runs_by_version_[version];
 }
 
 void endpoint_standin::complete(const exchange_ptr& exchange)
 {
-    const auto body = json::parse(text_of(exchange->request().body), nullptr, false);
+    const auto body = json::parse(to_std_string(exchange->request().body), nullptr, false);
     if (!body.is_object())
         return exchange->send(400, headers("application/json"), "{\"error\":\"malformed\"}");
     auto it = std::make_shared<job>();
     it->exchange = exchange;
     it->version = body.value("model", "");
-    it->prefix = body.value("messages", json::array()).dump().substr(0, max_counted_body);
+    it->prefix = body.value("messages", json::array()).dump().substr(0, max_counted_body_bytes);
     it->stream = body.value("stream", false);
     it->tokens = body.value("max_tokens", switches_.tokens);
     it->prompt_tokens = static_cast<int>(exchange->request().body.size() / 4);
@@ -99,7 +99,7 @@
     it->exchange->on_left(
         [this, it]
         {
-            it->left = true;
+            it->client_left = true;
             ++cancelled_;
         });
     if (running_ >= switches_.slots)
@@ -130,7 +130,7 @@
     QTimer::singleShot(first, Qt::PreciseTimer, &server_, [this, it] { step(it); });
 }
 
-std::string endpoint_standin::word(const job& it) const
+std::string endpoint_standin::next_token(const job& it) const
 {
     const bool bad = switches_.bad || (!switches_.bad_version.empty() && switches_.bad_version == it.version);
     return (bad ? "BAD" : "w") + std::to_string(it.sent);
@@ -143,7 +143,7 @@
 
 void endpoint_standin::step(const job_ptr& it)
 {
-    if (it->left)
+    if (it->client_left)
         return release(it);
     if (!it->stream)
     {
@@ -160,8 +160,9 @@
     }
     if (it->sent == it->tokens)
         return finish(it);
-    const json event{{"model", it->version},
-                     {"choices", json::array({{{"index", 0}, {"delta", {{"content", word(*it) + " "}}}}})}};
+    const json event{
+        {"model", it->version},
+        {"choices", json::array({{{"index", 0}, {"delta", {{"content", next_token(*it) + " "}}}}})}};
     ++it->sent;
     it->exchange->chunk("data: " + event.dump() + "\n\n");
     QTimer::singleShot(switches_.token_ms, Qt::PreciseTimer, &server_, [this, it] { step(it); });
@@ -177,7 +178,7 @@
     }
     std::string text;
     for (it->sent = 0; it->sent < it->tokens; ++it->sent)
-        text += word(*it) + " ";
+        text += next_token(*it) + " ";
     const bool engine = !it->prefix.empty();
     const json answer{
         {"model", it->version},
@@ -196,14 +197,14 @@
     {
         const auto next = waiting_.front();
         waiting_.pop_front();
-        if (!next->left)
+        if (!next->client_left)
             run(next);
     }
 }
 
 void endpoint_standin::order(const exchange_ptr& exchange)
 {
-    const auto doc = json::parse(text_of(exchange->request().body), nullptr, false);
+    const auto doc = json::parse(to_std_string(exchange->request().body), nullptr, false);
     if (!doc.is_object())
         return exchange->send(400, json_type, "{}");
     const auto number = doc.value("fencing", std::uint64_t{0});
@@ -216,7 +217,7 @@
 
 void endpoint_standin::control(const exchange_ptr& exchange)
 {
-    const auto doc = json::parse(text_of(exchange->request().body), nullptr, false);
+    const auto doc = json::parse(to_std_string(exchange->request().body), nullptr, false);
     if (!doc.is_object())
         return exchange->send(400, json_type, "{}");
     auto& s = switches_;
--- a/standins/endpoint_standin.hpp
+++ b/standins/endpoint_standin.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Stand-in for a model engine or a plain service, with switches for failure.
+/// Stand-in for a model engine or a plain service, with fault injection.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,29 @@
 namespace runlink::standins
 {
 
-/// What the stand-in does, set with `POST /control`.
+/// Settings for capacity, timing and injected faults, set with `POST /control`. Times are in milliseconds.
 struct endpoint_switches
 {
-    int slots = 16;          ///< requests that run at once; the rest wait
-    int queue = 64;          ///< requests that wait; more are refused with 429, not started
-    int first_token_ms = 5;  ///< without a cached prefix
-    int cached_token_ms = 1; ///< with one
-    int token_ms = 1;
-    int tokens = 8;          ///< of an answer, where the request does not say
-    bool refuse = false;     ///< 503 for every request, not started
-    bool drop = false;       ///< takes the request, runs it and closes without an answer
-    bool cut = false;        ///< breaks the answer off in its middle
-    bool stall = false;      ///< takes the request and never answers
-    int late_ms = 0;         ///< answers that much later
-    bool bad = false;        ///< answers with `BAD` text
-    std::string bad_version; ///< answers of this version are bad
-    bool error = false;      ///< 500 after taking the request
-    bool leaving = false;    ///< says so on each answer
-    bool checks_fencing = true;
+    int slots = 16;          ///< requests that run concurrently; further ones are queued
+    int queue = 64;          ///< queued requests; further ones are refused with 429 and not started
+    int first_token_ms = 5;  ///< delay of the first token if the prompt prefix is not cached
+    int cached_token_ms = 1; ///< delay of the first token if the prompt prefix is cached
+    int token_ms = 1;        ///< delay between two tokens
+    int tokens = 8;          ///< length of an answer if the request has no `max_tokens`
+    bool refuse = false;     ///< answers every request with 503 and does not start it
+    bool drop = false;       ///< counts the request as run, then closes the connection without an answer
+    bool cut = false;        ///< closes the connection halfway through a streamed answer
+    bool stall = false;      ///< accepts the request and never answers
+    int late_ms = 0;         ///< additional delay before each answer
+    bool bad = false;        ///< answers contain the text `BAD`
+    std::string bad_version; ///< answers of this model version contain the text `BAD`
+    bool error = false;      ///< counts the request as run and answers 500
+    bool leaving = false;    ///< adds `X-Endpoint-Leaving` to answers, except those of orders and `/control`
+    bool checks_fencing = true; ///< try_refuse orders with a fencing number below the highest seen
 };
 
-/// Serves `/v1/chat/completions` as an engine, any other path as a plain service, and orders on `/v1/orders`.
+/// Serves `/v1/chat/completions` as a model engine, orders on `/v1/orders`, and other paths as a plain
+/// service.
 class endpoint_standin
 {
 public:
@@ -57,7 +58,7 @@
         int tokens = 0;
         int prompt_tokens = 0;
         int sent = 0;
-        bool left = false;
+        bool client_left = false;
     };
     using job_ptr = std::shared_ptr<job>;
 
@@ -67,15 +68,15 @@
     void order(const exchange_ptr& exchange);
     void control(const exchange_ptr& exchange);
     void show_control(const exchange_ptr& exchange) const;
-    bool refuses(const exchange_ptr& exchange);
-    void count_run(const exchange_ptr& exchange, const std::string& what);
+    bool try_refuse(const exchange_ptr& exchange);
+    void count_run(const exchange_ptr& exchange, const std::string& version);
 
     void admit(const job_ptr& it);
     void run(const job_ptr& it);
     void step(const job_ptr& it);
     void finish(const job_ptr& it);
     void release(const job_ptr& it);
-    std::string word(const job& it) const;
+    std::string next_token(const job& it) const;
     std::string usage(const job& it) const;
     net::header_list headers(const char* type) const;
 
--- a/standins/kv_standin.cpp
+++ b/standins/kv_standin.cpp
@@ -40,14 +40,14 @@
 void kv_standin::put(const std::string& key, const json& value)
 {
     items_[key] = {value.dump(), ++revision_};
-    changed(key);
+    record_change(key);
 }
 
 void kv_standin::remove(const std::string& key)
 {
     items_.erase(key);
     ++revision_;
-    changed(key);
+    record_change(key);
 }
 
 json kv_standin::value(const std::string& key) const
@@ -62,7 +62,7 @@
     return found == calls_.end() ? 0 : found->second;
 }
 
-void kv_standin::changed(const std::string& key)
+void kv_standin::record_change(const std::string& key)
 {
     history_.emplace_back(revision_, key);
     const auto waiting = std::exchange(watches_, {});
@@ -105,7 +105,7 @@
 
 void kv_standin::on_watch(const connection_ptr& from, std::uint64_t after)
 {
-    if (after < oldest_)
+    if (after < oldest_watch_revision_)
         return answer(from, status_gone, json::object());
     const auto events = changes_since(after);
     if (events.empty())
@@ -128,9 +128,9 @@
     {
         const auto bytes = QByteArray::fromBase64(QByteArray::fromStdString(it.at("value")));
         items_[it.at("key")] = {bytes.toStdString(), ++revision_};
-        if (const auto held = leases_.find(it.value("lease", std::uint64_t{0})); held != leases_.end())
-            held->second.keys.insert(it.at("key").get<std::string>());
-        changed(it.at("key"));
+        if (const auto lease = leases_.find(it.value("lease", std::uint64_t{0})); lease != leases_.end())
+            lease->second.keys.insert(it.at("key").get<std::string>());
+        record_change(it.at("key"));
     }
     if (answers != mode::lose_answers)
         return answer(from, status_ok, {{"revision", revision_}});
@@ -161,7 +161,8 @@
 void kv_standin::end_lease(std::uint64_t id)
 {
     auto ended = leases_.extract(id);
-    ended.mapped().timer.release()->deleteLater(); // its signal is being delivered
+    ended.mapped().timer.release()->deleteLater(); // the timer is still emitting the signal that called this
+                                                   // function
     for (const auto& key : ended.mapped().keys)
         remove(key);
 }
--- a/standins/kv_standin.hpp
+++ b/standins/kv_standin.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Plays the platform's key-value store for tests, with switches for failure.
+/// In-process stand-in for the platform's key-value store, with fault injection for tests.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +18,17 @@
 namespace runlink::standins
 {
 
-/// Ranges, watches, transactions and leases of one store in memory.
+/// In-memory store that serves range reads, watches, transactions and leases over HTTP.
 class kv_standin
 {
 public:
-    /// How calls are answered.
+    /// How the store answers calls.
     enum class mode
     {
         normal,
-        silent,       ///< nothing is answered
-        refuse,       ///< 503, nothing is done
-        lose_answers, ///< writes are done and not answered
+        silent,       ///< calls are neither executed nor answered
+        refuse,       ///< calls are answered with 503 and not executed
+        lose_answers, ///< writes are executed, then the connection is reset without an answer
     };
 
     kv_standin();
@@ -36,9 +36,9 @@
     std::uint16_t listen();
     void put(const std::string& key, const nlohmann::json& value);
     void remove(const std::string& key);
-    /// Watches that go on from before now are told that the history is gone.
-    void forget_history() { oldest_ = revision_ + 1; }
-    /// The value of a key, or null.
+    /// Discards the history: watches that resume from the current revision or an earlier one get status 410.
+    void forget_history() { oldest_watch_revision_ = revision_ + 1; }
+    /// The value of `key`, or JSON null if the key does not exist.
     nlohmann::json value(const std::string& key) const;
     std::size_t calls(const std::string& path) const;
 
@@ -72,7 +72,7 @@
     void answer(const connection_ptr& to, int status, const nlohmann::json& body);
     nlohmann::json item_json(const std::string& key) const;
     nlohmann::json changes_since(std::uint64_t after) const;
-    void changed(const std::string& key);
+    void record_change(const std::string& key);
 
     net::http_listener listener_;
     std::map<std::string, item> items_;
@@ -82,7 +82,7 @@
     std::map<std::uint64_t, lease> leases_;
     std::uint64_t next_lease_ = 1;
     std::uint64_t revision_ = 1;
-    std::uint64_t oldest_ = 0;
+    std::uint64_t oldest_watch_revision_ = 0;
 };
 
 } // namespace runlink::standins
--- a/standins/operator_documents.hpp
+++ b/standins/operator_documents.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What an operator of the users' platform writes into its store: configurations and roll-outs.
+/// Documents that an operator of the users' platform writes to its store: configurations and rollouts.
 #pragma once
 
 #include <string>
@@ -16,21 +16,21 @@
 inline constexpr const char* configuration_key = "op/config";
 inline constexpr const char* rollout_key = "op/rollout/pool";
 inline constexpr const char* rollout_status_key = "status/rollout/pool";
-/// Of the stream's route: a stream should not wait longer than this between two events.
+/// Target of the streaming route for the longest gap between two events of a stream.
 inline constexpr core::milliseconds stream_target_gap{400};
 inline constexpr core::milliseconds stream_timeout{6000};
 
-/// Where an endpoint of that id is listed.
+/// Store key of the endpoint `id`.
 inline std::string endpoint_key(const std::string& id)
 {
     return "servers/" + id;
 }
 
-/// A configuration with a safe route `/look/`, one that may run once `/pay/`, and a stream `/llm/`, for one
-/// client account with these keys.
+/// A configuration with a safe route `/look/`, an unsafe route `/pay/` that allows one attempt, and a
+/// streaming route `/llm/`, for one client account with the API keys `keys`.
 nlohmann::json make_configuration(int version, const std::vector<std::string>& keys,
                                   core::milliseconds timeout_of_streams = stream_timeout);
-/// An order to move the engines to a version.
+/// A rollout that moves the engines to `version` over `seconds` seconds.
 nlohmann::json make_rollout(const std::string& version, double seconds);
 
 } // namespace runlink::standins
--- a/standins/platform_standin.cpp
+++ b/standins/platform_standin.cpp
@@ -19,7 +19,7 @@
     return "\"" + std::to_string(revision) + "\"";
 }
 
-void later(int ms, std::function<void()> action)
+void run_after(int ms, std::function<void()> action)
 {
     if (ms <= 0)
         return action();
@@ -61,8 +61,8 @@
         return exchange->send(404, json_type, "{}");
     if (switches_.outage)
         return exchange->abort();
-    later(switches_.slow_ms,
-          [this, exchange] { handle_key(exchange, exchange->request().path.substr(key_prefix.size())); });
+    run_after(switches_.slow_ms,
+              [this, exchange] { handle_key(exchange, exchange->request().path.substr(key_prefix.size())); });
 }
 
 void platform_standin::handle_key(const exchange_ptr& exchange, const std::string& key)
@@ -93,10 +93,10 @@
     const auto& request = exchange->request();
     const auto found = values_.find(key);
     const bool create = request.header("If-None-Match") == "*";
-    const bool holds =
+    const bool precondition_holds =
         create ? found == values_.end()
                : found != values_.end() && request.header("If-Match") == tag_of(found->second.revision);
-    if (!holds)
+    if (!precondition_holds)
         return exchange->send(412, {}, "");
     const auto revision = ++revision_;
     values_[key] = {request.body.toStdString(), revision};
@@ -129,12 +129,12 @@
     exchange->on_left(forget);
     if (switches_.drop_watches)
         return;
-    later(wait_ms,
-          [exchange, forget]
-          {
-              forget();
-              exchange->send(304, {}, "");
-          });
+    run_after(wait_ms,
+              [exchange, forget]
+              {
+                  forget();
+                  exchange->send(304, {}, "");
+              });
 }
 
 void platform_standin::wake_watches(const std::string& key)
@@ -169,8 +169,8 @@
     ++counts_.ratings;
     const auto& body = exchange->request().body;
     const bool good = body.indexOf(QByteArray::fromStdString(switches_.bad_text)) < 0;
-    later(switches_.rating_ms, [exchange, good]
-          { exchange->send(200, json_type, good ? "{\"good\":true}" : "{\"good\":false}"); });
+    run_after(switches_.rating_ms, [exchange, good]
+              { exchange->send(200, json_type, good ? "{\"good\":true}" : "{\"good\":false}"); });
 }
 
 void platform_standin::set_instances(const exchange_ptr& exchange)
@@ -178,7 +178,7 @@
     const auto doc = json::parse(exchange->request().body.toStdString(), nullptr, false);
     if (!doc.is_array())
         return exchange->send(400, json_type, "{}");
-    later(switches_.list_lag_ms, [this, doc] { instances_ = doc; });
+    run_after(switches_.list_lag_ms, [this, doc] { instances_ = doc; });
     exchange->send(200, json_type, "{}");
 }
 
--- a/standins/platform_standin.hpp
+++ b/standins/platform_standin.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Stand-in for the platform: key-value service, instance list and rating service, with switches for failure.
+/// Stand-in for the platform: key-value service, instance list and rating service, with fault injection.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,16 @@
 namespace runlink::standins
 {
 
-/// What the stand-in does wrong, set with `POST /control`.
+/// Settings for timing and injected faults, set with `POST /control`. Times are in milliseconds.
 struct platform_switches
 {
-    bool outage = false;          ///< every call of the key-value service is dropped
-    int slow_ms = 0;              ///< every call is answered that much later
-    int lose_write_replies = 0;   ///< so many writes take effect and are not answered
+    bool outage = false;          ///< closes the connection of each key-value call without an answer
+    int slow_ms = 0;              ///< delay before each key-value call is handled
+    int lose_write_replies = 0;   ///< number of writes that take effect but get no answer
     bool drop_watches = false;    ///< watches are never answered
-    int rating_ms = 50;           ///< time until an answer is rated
-    std::string bad_text = "BAD"; ///< answers that hold this are rated bad
-    int list_lag_ms = 0;          ///< age of the instance list
+    int rating_ms = 50;           ///< delay before a rating is returned
+    std::string bad_text = "BAD"; ///< answers that contain this text are rated bad
+    int list_lag_ms = 0;          ///< delay before an updated instance list becomes visible
 };
 
 /// Counts of calls, read with `GET /control`.
@@ -37,7 +37,7 @@
     std::uint64_t ratings = 0;
 };
 
-/// The protocol is the one that `store_client.hpp` and `platform_client.hpp` describe.
+/// Serves the protocol described in `store_client.hpp` and `platform_client.hpp`.
 class platform_standin
 {
 public:
--- a/standins/served_endpoint.cpp
+++ b/standins/served_endpoint.cpp
@@ -17,20 +17,20 @@
 constexpr int status_misdirected = 421;
 constexpr int status_error = 500;
 constexpr int status_unavailable = 503;
-constexpr std::uint64_t most_events = 12;
+constexpr std::uint64_t max_events = 12;
 constexpr std::uint64_t whole_percent = 100;
-/// Some streams take seconds, so that callers leave and instances stop in their middle.
+/// Some streams take seconds, so that clients disconnect and instances stop while a stream is in progress.
 constexpr std::uint64_t slow_one_in = 6;
 constexpr core::milliseconds slow_pace{250};
-constexpr std::uint64_t least_long_events = 36;
+constexpr std::uint64_t min_long_events = 36;
 constexpr std::uint64_t long_event_spread = 20;
 constexpr core::milliseconds long_pace{150};
-/// Rare enough that a stream has attempts left at its later pauses.
+/// Pauses are rare enough that a stream still has attempts left when it reaches its later pauses.
 constexpr std::uint64_t pause_one_in = 16;
-constexpr std::uint64_t least_pause_percent = 90; ///< of the target gap
-constexpr std::uint64_t most_pause_percent = 150;
+constexpr std::uint64_t min_pause_percent = 90; ///< percentage of `stream_target_gap`
+constexpr std::uint64_t max_pause_percent = 150;
 
-core::milliseconds times(core::milliseconds it, double factor)
+core::milliseconds scaled(core::milliseconds it, double factor)
 {
     return core::milliseconds{static_cast<core::milliseconds::rep>(static_cast<double>(it.count()) * factor)};
 }
@@ -61,13 +61,13 @@
 {
     id_ = id;
     born_ = born;
-    ++life_;
+    ++process_generation_;
 }
 
 std::uint64_t served_endpoint::event_count(const std::string& request)
 {
     const auto hash = core::stable_hash(request);
-    return is_long(request) ? least_long_events + hash % long_event_spread : 1 + hash % most_events;
+    return is_long(request) ? min_long_events + hash % long_event_spread : 1 + hash % max_events;
 }
 
 core::milliseconds served_endpoint::pause_after(const std::string& request, std::uint64_t n)
@@ -76,11 +76,11 @@
     if (!is_long(request) || n >= event_count(request) || hash % pause_one_in != 0)
         return {};
     const auto percent =
-        least_pause_percent + hash / pause_one_in % (most_pause_percent - least_pause_percent + 1);
-    return times(stream_target_gap, static_cast<double>(percent) / whole_percent);
+        min_pause_percent + hash / pause_one_in % (max_pause_percent - min_pause_percent + 1);
+    return scaled(stream_target_gap, static_cast<double>(percent) / whole_percent);
 }
 
-bool served_endpoint::wants_rest(const std::string& request) const
+bool served_endpoint::refuses_for_back_off(const std::string& request) const
 {
     constexpr std::uint64_t served_one_in = 8;
     return says.rest && core::stable_hash(request, 3) % served_one_in != 0;
@@ -112,7 +112,7 @@
     if (!is_other)
         on_arrived(*this, *request);
     const auto how = choose_mode ? choose_mode() : answers;
-    if (is_other || how == mode::refuse || wants_rest(*request))
+    if (is_other || how == mode::refuse || refuses_for_back_off(*request))
     {
         auto fields = fields_for(*request, !is_other);
         fields.add("X-Runlink-Not-Executed", "1");
@@ -127,14 +127,14 @@
     from->on_left = [it] { it->was_left = !std::exchange(it->is_over, true); };
     const auto short_pace = core::stable_hash(it->request, 2) % slow_one_in == 0 ? slow_pace : pace;
     const auto own_pace = is_long(it->request) ? long_pace : short_pace;
-    it->pace = how == mode::slow ? times(own_pace, slow_times) : own_pace;
+    it->pace = how == mode::slow ? scaled(own_pace, slow_times) : own_pace;
     it->is_harmful = it->path.find(harmful_text) != std::string::npos;
     on_run(*this, it);
     if (it->is_harmful)
         QTimer::singleShot(survives, &context_,
-                           [this, it, life = life_]
+                           [this, it, generation = process_generation_]
                            {
-                               if (!it->is_over && life == life_)
+                               if (!it->is_over && generation == process_generation_)
                                    on_ended(it);
                            });
     serve(from, head, it, how);
@@ -153,7 +153,7 @@
         return to->reset();
     }
     const bool fails = how == mode::fail;
-    const auto wait = how == mode::slow ? times(pace, slow_times) : pace;
+    const auto wait = how == mode::slow ? scaled(pace, slow_times) : pace;
     if (head.target.starts_with("/llm/") && !fails)
     {
         QTimer::singleShot(wait, &context_, [this, to, it] { begin_stream(to, it); });
@@ -195,7 +195,7 @@
         return to->finish(false);
     }
     const auto event = "id: " + std::to_string(n) + "\ndata: " + event_data(it->request, n) + "\n\n";
-    // In two pieces, so that a break may come in the middle of an event.
+    // Writes each event in two chunks, so that a connection can break in the middle of an event.
     to->write(net::write_chunk(event.substr(0, event.size() / 2)));
     to->write(net::write_chunk(event.substr(event.size() / 2)));
     const auto wait = std::max(it->pace, pause_after(it->request, n));
--- a/standins/served_endpoint.hpp
+++ b/standins/served_endpoint.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Plays an endpoint of the users' platform: a plain service, or an engine with event streams. It tells of
-/// each run.
+/// In-process stand-in for an endpoint of the users' platform: a plain service, or a model engine that
+/// answers with event streams. Callbacks report each request that it runs.
 #pragma once
 
 #include <cstdint>
@@ -18,30 +18,30 @@
 namespace runlink::standins
 {
 
-/// One life of an endpoint.
+/// HTTP server at a local port that answers as one endpoint process.
 class served_endpoint
 {
 public:
-    /// What it does with requests.
+    /// How the endpoint answers requests.
     enum class mode
     {
         normal,
-        refuse, ///< 503, not run
-        fail,   ///< runs and answers 500
-        lose,   ///< runs and resets
-        hang,   ///< runs and never answers
-        slow,   ///< takes `slow_times` as long
+        refuse, ///< answers 503 without running the request
+        fail,   ///< runs the request and answers 500
+        lose,   ///< runs the request and resets the connection
+        hang,   ///< runs the request and never answers
+        slow,   ///< takes `slow_times` times as long as `normal`
     };
-    /// A request that is being run.
+    /// One execution of a request.
     struct run
     {
         std::string request;
         std::string path;
         std::uint64_t first_event = 1;
         bool is_over = false;
-        bool was_left = false;     ///< its connection ended before it was over
-        bool is_harmful = false;   ///< it ends the endpoint, and is never answered whole
-        core::milliseconds pace{}; ///< between two events
+        bool was_left = false;     ///< the connection closed before the answer was complete
+        bool is_harmful = false;   ///< crashes the endpoint; a stream for it is never completed
+        core::milliseconds pace{}; ///< delay between two events
     };
     using run_ptr = std::shared_ptr<run>;
 
@@ -51,53 +51,54 @@
     const std::string& id() const { return id_; }
     const std::string& service() const { return service_; }
     const std::string& version() const { return version_; }
-    /// Its item in the store, reached at a port that may be a proxy's.
+    /// The endpoint's entry in the store. `port` is the advertised port, which may be that of a proxy.
     nlohmann::json entry(std::uint16_t port, bool leaving) const;
-    /// The body of a plain answer to a request.
+    /// The body of a non-streaming answer to `request`.
     static std::string body_of(const std::string& request) { return "answer to " + request; }
-    /// The data of one event of a stream.
+    /// The `data` field of event `n` of a stream.
     static std::string event_data(const std::string& request, std::uint64_t n)
     {
         return request + "/" + std::to_string(n);
     }
-    /// How many events answer a request.
+    /// The number of events in the stream that answers `request`.
     static std::uint64_t event_count(const std::string& request);
-    /// Requests whose names begin so are answered by streams of many seconds, with pauses.
+    /// Requests whose names start with this prefix get streams that last many seconds and contain pauses.
     static constexpr const char* long_prefix = "long-";
     static bool is_long(const std::string& request) { return request.starts_with(long_prefix); }
-    /// The pause behind an event of a long stream; none after most. The stream's next attempt goes on behind
-    /// it without one.
+    /// The pause after event `n` of a long stream; zero after most events. An attempt that resumes after
+    /// event `n` continues without this pause.
     static core::milliseconds pause_after(const std::string& request, std::uint64_t n);
 
-    /// What it says of itself in all its answers.
+    /// What the endpoint reports about itself in the header fields of its answers.
     struct words
     {
-        std::optional<double> requests_per_s; ///< from all instances together
+        std::optional<double> requests_per_s; ///< request limit for all instances together
         bool is_leaving = false;
-        std::optional<core::milliseconds> rest; ///< it refuses most requests, and wants nothing for so long
+        std::optional<core::milliseconds>
+            rest; ///< back-off time in `Retry-After`; while set, most requests are refused
     };
     words says;
-    /// A request for this endpoint has come.
+    /// Called when a request for this endpoint arrives.
     std::function<void(const served_endpoint&, const std::string& request)> on_arrived = [](const auto&,
                                                                                             const auto&) {};
-    /// The head of an answer has been written.
+    /// Called when the head of an answer is written.
     std::function<void(const served_endpoint&, const std::string& request, bool is_refusal)> on_answered =
         [](const auto&, const auto&, bool) {};
 
     mode answers = mode::normal;
-    /// What it does with one request, where that differs from `answers`.
+    /// If set, chooses the mode of each request instead of `answers`.
     std::function<mode()> choose_mode;
     double slow_times = 8;
-    core::milliseconds pace{8}; ///< of plain answers, before a stream and between two events
-    /// Requests whose path has this text end the endpoint so long after it began to run them.
+    core::milliseconds pace{8}; ///< delay before an answer starts and between two events
+    /// Requests whose path contains this text crash the endpoint `survives` after their execution starts.
     static constexpr const char* harmful_text = "harmful";
     core::milliseconds survives{60};
     std::function<void(const run_ptr&)> on_ended = [](const auto&) {};
-    /// Another process listens at the address: all that was under way is gone. A number names a later life
-    /// under the same id.
+    /// Marks that a new process listens at the address and that the requests in progress are lost. A nonzero
+    /// `born` distinguishes a restart under the same id.
     void begin_life(const std::string& id, std::uint64_t born);
     std::function<void(const served_endpoint&, const run_ptr&)> on_run = [](const auto&, const auto&) {};
-    /// An answer was given that is not as it should be, or will never be given.
+    /// Called when a request gets a failed, late or missing answer.
     std::function<void(const served_endpoint&)> on_bad_answer = [](const auto&) {};
 
 private:
@@ -107,19 +108,19 @@
     void serve(const connection_ptr& to, const net::http_request_head& head, const run_ptr& it, mode how);
     void begin_stream(const connection_ptr& to, const run_ptr& it);
     void step(const connection_ptr& to, const run_ptr& it, std::uint64_t n);
-    /// The fields of an answer, which is written now.
+    /// The header fields of an answer. Calls `on_answered`, so the caller must write the answer at once.
     net::http_fields fields_for(const std::string& request, bool is_refusal = false) const;
-    /// Whether it refuses this request for the rest that it wants.
-    bool wants_rest(const std::string& request) const;
+    /// Whether the endpoint refuses this request because it asks clients to back off.
+    bool refuses_for_back_off(const std::string& request) const;
 
     std::string id_;
     std::string service_;
     std::string version_;
     std::uint64_t born_ = 0;
-    std::uint64_t life_ = 0;
+    std::uint64_t process_generation_ = 0;
     net::http_listener listener_;
     std::uint16_t port_ = 0;
-    QObject context_; ///< answers that are due end with the endpoint
+    QObject context_; ///< cancels pending timers on destruction
 };
 
 } // namespace runlink::standins
--- a/standins/standin_program.hpp
+++ b/standins/standin_program.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The common part of the stand-ins' programs.
+/// Code shared by the stand-in programs.
 #pragma once
 
 #include <iostream>
@@ -12,7 +12,7 @@
 namespace runlink::standins
 {
 
-/// Listens, prints the port, and serves until it is ended.
+/// Listens, prints the address and port, and serves until the process ends. Returns 1 if listening fails.
 template <class Standin>
 int serve(Standin& standin, const std::string& host, std::uint16_t port)
 {
