--- a/standins/endpoint_standin.hpp
+++ b/standins/endpoint_standin.hpp
@@ -29,13 +29,13 @@
     bool refuse = false;     ///< answers every request with 503 and does not start it
     bool drop = false;       ///< counts the request as run, then closes the connection without an answer
     bool cut = false;        ///< closes the connection halfway through a streamed answer
-    bool stall = false;      ///< accepts the request and never answers
+    bool stall = false;      ///< counts the request as run, keeps its slot and never answers
     int late_ms = 0;         ///< additional delay before each answer
     bool bad = false;        ///< answers contain the text `BAD`
     std::string bad_version; ///< answers of this model version contain the text `BAD`
     bool error = false;      ///< counts the request as run and answers 500
     bool leaving = false;    ///< adds `X-Endpoint-Leaving` to answers, except those of orders and `/control`
-    bool checks_fencing = true; ///< try_refuse orders with a fencing number below the highest seen
+    bool checks_fencing = true; ///< refuses orders with a fencing number below the highest seen
 };
 
 /// Serves `/v1/chat/completions` as a model engine, orders on `/v1/orders`, and other paths as a plain
--- a/standins/kv_standin.cpp
+++ b/standins/kv_standin.cpp
@@ -128,8 +128,8 @@
     {
         const auto bytes = QByteArray::fromBase64(QByteArray::fromStdString(it.at("value")));
         items_[it.at("key")] = {bytes.toStdString(), ++revision_};
-        if (const auto lease = leases_.find(it.value("lease", std::uint64_t{0})); lease != leases_.end())
-            lease->second.keys.insert(it.at("key").get<std::string>());
+        if (const auto found = leases_.find(it.value("lease", std::uint64_t{0})); found != leases_.end())
+            found->second.keys.insert(it.at("key").get<std::string>());
         record_change(it.at("key"));
     }
     if (answers != mode::lose_answers)
@@ -161,8 +161,8 @@
 void kv_standin::end_lease(std::uint64_t id)
 {
     auto ended = leases_.extract(id);
-    ended.mapped().timer.release()->deleteLater(); // the timer is still emitting the signal that called this
-                                                   // function
+    // The timer is still emitting the signal that called this function.
+    ended.mapped().timer.release()->deleteLater();
     for (const auto& key : ended.mapped().keys)
         remove(key);
 }
--- a/standins/served_endpoint.hpp
+++ b/standins/served_endpoint.hpp
@@ -74,8 +74,8 @@
     {
         std::optional<double> requests_per_s; ///< request limit for all instances together
         bool is_leaving = false;
-        std::optional<core::milliseconds>
-            rest; ///< back-off time in `Retry-After`; while set, most requests are refused
+        /// Back-off time in `Retry-After`. While set, most requests are refused.
+        std::optional<core::milliseconds> rest;
     };
     words says;
     /// Called when a request for this endpoint arrives.
