--- a/bench/exposure.cpp
+++ b/bench/exposure.cpp
@@ -1,6 +1,6 @@
-// Exposure to bad versions: answers served until a bad version is stopped, and good versions stopped by
-// mistake. Drives the real guard on a paused clock against a fake rating service. Seven instances, evidence
-// pooled every 500 ms.
+// Measures exposure to bad model versions: how many bad answers are served until a version is stopped, and
+// how often a good version is stopped by mistake. Runs the version guards of seven instances on simulated
+// time with simulated ratings; the instances exchange their rating counts every 500 ms.
 
 #include <algorithm>
 #include <functional>
@@ -20,18 +20,19 @@
 using namespace runlink::bench;
 
 constexpr int instances = 7;
-constexpr double accepted_bad = 0.05;
-constexpr int requests_per_second = 20; ///< of the model, in the whole deployment
-constexpr double share = 0.5;           ///< of the roll-out
+constexpr double accepted_bad_rate = 0.05;
+constexpr int requests_per_second = 20; ///< requests for the model in the whole deployment
+constexpr double rollout_share = 0.5; ///< share of the requests that the roll-out directs to the new version
 const core::version_ref version{core::model_id{"m"}, core::version_id{"v"}};
 
-/// What decides whether a request goes to the young version, and learns from ratings.
+/// Decides whether a request goes to the new version, and takes ratings into account. `draw` is a random
+/// number, uniform between 0 and 1.
 struct policy
 {
-    std::function<bool(int instance, core::time_point now, double coin)> admits;
+    std::function<bool(int instance, core::time_point now, double draw)> admits;
     std::function<void(int instance, core::time_point now)> started;
     std::function<void(int instance, bool good)> rated;
-    std::function<void()> exchange;
+    std::function<void()> exchange_counts;
     std::function<bool()> stopped;
 };
 
@@ -42,11 +43,11 @@
         guards->push_back(std::make_unique<core::version_guard>(core::guard_options{},
                                                                 [] { return std::size_t{instances}; }));
     policy it;
-    it.admits = [guards](int n, core::time_point now, double coin)
-    { return coin < share && (*guards)[n]->admits(now, version, core::version_state::rolling_out); };
+    it.admits = [guards](int n, core::time_point now, double draw)
+    { return draw < rollout_share && (*guards)[n]->admits(now, version, core::version_state::rolling_out); };
     it.started = [guards](int n, core::time_point now) { (*guards)[n]->started(now, version); };
     it.rated = [guards](int n, bool good) { (*guards)[n]->rated(version, good); };
-    it.exchange = [guards]
+    it.exchange_counts = [guards]
     {
         for (int a = 0; a < instances; ++a)
             for (int b = 0; b < instances; ++b)
@@ -60,8 +61,9 @@
     return it;
 }
 
-/// A fixed part of the traffic for a fixed number of ratings, then a threshold, then the whole share.
-policy canary_policy(double part, int ratings, double threshold)
+/// Admits the share `canary_share` of the traffic until `ratings` ratings have arrived, then the whole
+/// roll-out share. Stops the version when the share of bad ratings exceeds `threshold` after that.
+policy canary_policy(double canary_share, int ratings, double threshold)
 {
     struct state
     {
@@ -71,8 +73,8 @@
     };
     auto s = std::make_shared<state>();
     policy it;
-    it.admits = [s, part, ratings](int, core::time_point, double coin)
-    { return !s->stopped && coin < (s->good + s->bad < ratings ? part : share); };
+    it.admits = [s, canary_share, ratings](int, core::time_point, double draw)
+    { return !s->stopped && draw < (s->good + s->bad < ratings ? canary_share : rollout_share); };
     it.started = [](int, core::time_point) {};
     it.rated = [s, ratings, threshold](int, bool good)
     {
@@ -80,7 +82,7 @@
         const int n = s->good + s->bad;
         s->stopped = s->stopped || (n >= ratings && static_cast<double>(s->bad) / n > threshold);
     };
-    it.exchange = [] {};
+    it.exchange_counts = [] {};
     it.stopped = [s] { return s->stopped; };
     return it;
 }
@@ -88,25 +90,27 @@
 policy no_policy()
 {
     policy it;
-    it.admits = [](int, core::time_point, double coin) { return coin < share; };
+    it.admits = [](int, core::time_point, double draw) { return draw < rollout_share; };
     it.started = [](int, core::time_point) {};
     it.rated = [](int, bool) {};
-    it.exchange = [] {};
+    it.exchange_counts = [] {};
     it.stopped = [] { return false; };
     return it;
 }
 
 struct outcome
 {
-    int bad = 0; ///< bad answers served
+    int bad = 0; ///< bad answers served since the version turned bad
     int served = 0;
     double stopped_after_s = -1;
-    double share_reached_s = -1; ///< time until nine of ten wanted requests are admitted
+    double share_reached_s = -1; ///< time until 90 of 100 requests in the roll-out share are admitted
 };
 
-/// One roll-out. The version has `bad_rate` from `turns_bad` on, before that the accepted one.
-outcome roll_out(const policy& it, double bad_rate, core::seconds rating_lag, core::seconds turns_bad,
-                 core::seconds length, std::uint64_t seed)
+/// Simulates one roll-out until the version is stopped or `length` has passed. The rate of bad answers is
+/// `accepted_bad_rate` before `bad_after` and `bad_rate` from then on. Ratings arrive after exponentially
+/// distributed delays with the mean `rating_lag`.
+outcome roll_out(const policy& tested_policy, double bad_rate, core::seconds rating_lag,
+                 core::seconds bad_after, core::seconds length, std::uint64_t seed)
 {
     struct rating
     {
@@ -116,7 +120,7 @@
         bool operator>(const rating& other) const { return at > other.at; }
     };
     std::mt19937_64 random{seed};
-    std::uniform_real_distribution<double> coin{0, 1};
+    std::uniform_real_distribution<double> draw{0, 1};
     std::exponential_distribution<double> lag{1.0};
     std::priority_queue<rating, std::vector<rating>, std::greater<>> ratings;
     outcome out;
@@ -128,20 +132,20 @@
     for (int n = 0; now - begin < length; ++n, now += step)
     {
         if (n % (requests_per_second / 2) == 0)
-            it.exchange();
+            tested_policy.exchange_counts();
         for (; !ratings.empty() && ratings.top().at <= now; ratings.pop())
-            it.rated(ratings.top().instance, ratings.top().good);
-        if (it.stopped())
+            tested_policy.rated(ratings.top().instance, ratings.top().good);
+        if (tested_policy.stopped())
         {
             out.stopped_after_s = std::chrono::duration<double>(now - begin).count();
             return out;
         }
         const int instance = static_cast<int>(random() % instances);
-        const double c = coin(random);
-        const bool wants = c < share;
-        const bool runs = it.admits(instance, now, c);
-        wanted += wants ? 1 : 0;
-        admitted += runs ? 1 : 0;
+        const double c = draw(random);
+        const bool in_rollout_share = c < rollout_share;
+        const bool is_admitted = tested_policy.admits(instance, now, c);
+        wanted += in_rollout_share ? 1 : 0;
+        admitted += is_admitted ? 1 : 0;
         if (wanted == 100)
         {
             if (admitted >= 90 && out.share_reached_s < 0)
@@ -149,23 +153,24 @@
             wanted = 0;
             admitted = 0;
         }
-        if (!runs)
+        if (!is_admitted)
             continue;
-        it.started(instance, now);
-        const bool bad = coin(random) < (now - begin >= turns_bad ? bad_rate : accepted_bad);
+        tested_policy.started(instance, now);
+        const bool bad = draw(random) < (now - begin >= bad_after ? bad_rate : accepted_bad_rate);
         ++out.served;
-        out.bad += bad && now - begin >= turns_bad ? 1 : 0;
-        const auto late = core::duration{
+        out.bad += bad && now - begin >= bad_after ? 1 : 0;
+        const auto delay = core::duration{
             static_cast<core::duration::rep>(lag(random) * 1e6 * static_cast<double>(rating_lag.count()))};
-        ratings.push({now + late, instance, !bad});
+        ratings.push({now + delay, instance, !bad});
     }
     return out;
 }
 
-double median(std::vector<double> it)
+/// The median of the values; -1 if there are none.
+double median(std::vector<double> values)
 {
-    std::sort(it.begin(), it.end());
-    return it.empty() ? -1 : it[it.size() / 2];
+    std::sort(values.begin(), values.end());
+    return values.empty() ? -1 : values[values.size() / 2];
 }
 
 struct named_policy
@@ -194,23 +199,23 @@
             for (const auto& p : policies)
             {
                 std::vector<double> bad;
-                std::vector<double> after;
-                int never = 0;
+                std::vector<double> stop_times_s;
+                int never_stopped = 0;
                 for (int s = 0; s < seeds; ++s)
                 {
                     const auto it = roll_out(p.make(), v.rate, core::seconds{lag}, core::seconds{0},
                                              core::seconds{3600}, static_cast<std::uint64_t>(s));
                     bad.push_back(it.bad);
                     if (it.stopped_after_s < 0)
-                        ++never;
+                        ++never_stopped;
                     else
-                        after.push_back(it.stopped_after_s);
+                        stop_times_s.push_back(it.stopped_after_s);
                 }
                 const auto [low, high] = std::minmax_element(bad.begin(), bad.end());
-                out.add(
+                out.add_row(
                     {v.name, lag, p.name, median(bad),
                      std::to_string(static_cast<int>(*low)) + "-" + std::to_string(static_cast<int>(*high)),
-                     median(after), never});
+                     median(stop_times_s), never_stopped});
             }
     out.finish("bad from the start, one hour, " + std::to_string(seeds) + " seeds", path);
 }
@@ -222,19 +227,19 @@
         for (const auto& p : policies)
         {
             std::vector<double> bad;
-            std::vector<double> after;
-            int never = 0;
+            std::vector<double> stop_times_s;
+            int never_stopped = 0;
             for (int s = 0; s < seeds; ++s)
             {
                 const auto it = roll_out(p.make(), rate, core::seconds{10}, core::seconds{1800},
                                          core::seconds{3600}, static_cast<std::uint64_t>(s));
                 bad.push_back(it.bad);
                 if (it.stopped_after_s < 0)
-                    ++never;
+                    ++never_stopped;
                 else
-                    after.push_back(it.stopped_after_s - 1800);
+                    stop_times_s.push_back(it.stopped_after_s - 1800);
             }
-            out.add({rate, p.name, median(bad), median(after), never});
+            out.add_row({rate, p.name, median(bad), median(stop_times_s), never_stopped});
         }
     out.finish("turns bad after half an hour of good service", path);
 }
@@ -247,7 +252,7 @@
         {
             double served = 0;
             int stops = 0;
-            std::vector<double> reached;
+            std::vector<double> share_times_s;
             for (int s = 0; s < seeds; ++s)
             {
                 const auto it = roll_out(p.make(), rate, core::seconds{10}, core::seconds{0},
@@ -255,10 +260,11 @@
                 served += it.served;
                 stops += it.stopped_after_s >= 0 ? 1 : 0;
                 if (it.share_reached_s >= 0)
-                    reached.push_back(it.share_reached_s);
+                    share_times_s.push_back(it.share_reached_s);
             }
             constexpr double hours_a_month = 720;
-            out.add({rate, p.name, served, stops, stops / (seeds * 6.0) * hours_a_month, median(reached)});
+            out.add_row(
+                {rate, p.name, served, stops, stops / (seeds * 6.0) * hours_a_month, median(share_times_s)});
         }
     out.finish("good versions, six hours each; 'a month' is for one version under this traffic all month",
                path);
@@ -268,11 +274,11 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App cli{"Exposure to bad versions"};
+    CLI::App cli{"Measures exposure to bad model versions"};
     std::string path;
     int seeds = 30;
     cli.add_option("--json", path, "Append the results to this file");
-    cli.add_option("--seeds", seeds, "Histories of each kind");
+    cli.add_option("--seeds", seeds, "Simulated roll-outs of each version and policy");
     CLI11_PARSE(cli, argc, argv);
     bad_versions(seeds, path);
     turning_bad(seeds, path);
--- a/bench/idle.sh
+++ b/bench/idle.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What an instance costs without any request: processor time, private memory, messages to peers, calls on the store.
+# Measures the resource use of an idle instance: processor time, private memory, messages to peers, calls to the store.
 # Usage: bench/idle.sh INSTANCES [SECONDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/bench/load.sh
+++ b/bench/load.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Open-loop load through seven instances against calling the engines directly, in one run.
+# Compares open-loop load through seven instances with calling the endpoints directly, in one run.
 # Usage: bench/load.sh RATE SECONDS [options of bench_load]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/bench/processes.sh
+++ b/bench/processes.sh
@@ -1,5 +1,6 @@
-# Sourced by the benchmarks: starts a platform, engines and instances on loopback, and ends them again.
-# Sets: callers (addresses), engines (addresses), pids (of the instances), platform (port).
+# Sourced by the benchmarks: starts a platform, endpoints and instances on loopback, and kills them on exit.
+# Sets: callers (client addresses of the instances), engines (addresses of the endpoints), pids (process ids of the
+# instances), platform (port of the platform).
 
 build=${RUNLINK_BUILD:-build}
 base=${RUNLINK_BENCH_PORT:-18400}
@@ -8,7 +9,7 @@
 all_pids=() pids=() callers=() engines=()
 work=$(mktemp -d)
 end_all() {
-    for it in "${all_pids[@]}"; do kill -KILL "$it" 2>/dev/null || true; done
+    for pid in "${all_pids[@]}"; do kill -KILL "$pid" 2>/dev/null || true; done
     wait 2>/dev/null || true
     rm -rf "$work"
 }
@@ -16,7 +17,7 @@
 
 await() { until "$@" >/dev/null 2>&1; do sleep 0.1; done; }
 
-start_group() { # instances, engines
+start_group() { # arguments: number of instances, number of endpoints
     local n seeds="" endpoints=""
     platform=$base
     "$build/standins/standin_platform" --port "$base" >/dev/null & all_pids+=($!)
--- a/bench/selection.cpp
+++ b/bench/selection.cpp
@@ -1,6 +1,6 @@
-// Choice of an endpoint: time to the first token at several loads, with a slow endpoint and with a failure
-// domain lost. Drives the real selector of seven instances against fake endpoints, each with slots and a
-// queue.
+// Compares endpoint selection policies by the time to the first token: at several loads, with slow endpoints
+// and with the loss of a failure domain. The simulation runs the selectors of seven instances against
+// simulated endpoints, each of which has a fixed number of slots and a queue.
 
 #include <algorithm>
 #include <deque>
@@ -22,21 +22,22 @@
 
 constexpr int instances = 7;
 constexpr int endpoints = 20;
-constexpr int slots = 8;
+constexpr int slots_per_endpoint = 8;
 constexpr double mean_service_s = 1.0;
 constexpr double prefill_s = 0.08;
 constexpr double quick_share = 0.2;
 constexpr double quick_service_s = 0.05;
-constexpr double poll_interval_s = 0.1; ///< at which instances look for room again
+constexpr double poll_interval_s = 0.1; ///< interval at which instances retry their waiting requests
 constexpr double warm_up_s = 20;
-constexpr double length_s = 140;
+constexpr double simulation_length_s = 140;
 
 struct scenario
 {
     const char* name;
     double load;
-    int slow = 0;             ///< endpoints that are four times slower
-    bool domain_lost = false; ///< a third of the endpoints refuses connections from the middle on
+    int slow_endpoints = 0; ///< number of endpoints that run at a quarter of the normal speed
+    /// Every third endpoint refuses connections in the second half of the measured time.
+    bool domain_lost = false;
 };
 
 struct job
@@ -49,8 +50,9 @@
 };
 using job_ptr = std::shared_ptr<job>;
 
-/// Chooses an endpoint for a job, or -1: wait.
-struct chooser
+/// A selection policy. `pick` returns the index of an endpoint, or -1 if the job has to wait; the other
+/// functions inform the policy of the job's progress. Times are in seconds since the start of the simulation.
+struct selection_policy
 {
     std::function<int(double now, const job&)> pick;
     std::function<void(const job&)> started;
@@ -58,7 +60,7 @@
     std::function<void(double now, const job&)> first_token;
 };
 
-core::time_point at(double s)
+core::time_point time_at(double s)
 {
     return core::time_point{core::duration{static_cast<core::duration::rep>(s * 1e6)}};
 }
@@ -72,21 +74,21 @@
     {
         core::endpoint_settings e;
         e.id = core::endpoint_id{std::to_string(n)};
-        e.capacity = slots;
+        e.capacity = slots_per_endpoint;
         pool.endpoints.push_back(e);
     }
     it.pools.push_back(pool);
     return std::make_shared<const core::configuration>(it);
 }
 
-core::selector_options shared_endpoints()
+core::selector_options make_selector_options()
 {
     core::selector_options it;
     it.instances = instances;
     return it;
 }
 
-chooser runlink_chooser(std::uint64_t seed)
+selection_policy runlink_policy(std::uint64_t seed)
 {
     struct state
     {
@@ -99,22 +101,22 @@
     for (int n = 0; n < instances; ++n)
     {
         s->selectors.push_back(std::make_unique<core::endpoint_selector>(
-            shared_endpoints(), [](const core::endpoint_id&) { return false; }, s->random));
+            make_selector_options(), [](const core::endpoint_id&) { return false; }, s->random));
         s->selectors.back()->apply(configuration);
     }
     const auto id = [](int n) { return core::endpoint_id{std::to_string(n)}; };
-    chooser it;
+    selection_policy it;
     it.pick = [s](double now, const job& j)
     {
         core::endpoint_demand demand;
         demand.pool = core::pool_id{"p"};
         demand.quick = j.quick;
-        const auto* e = s->selectors[j.instance]->pick(at(now), demand);
+        const auto* e = s->selectors[j.instance]->pick(time_at(now), demand);
         return e == nullptr ? -1 : std::stoi(e->id.str());
     };
     it.started = [s, id](const job& j) { s->selectors[j.instance]->started(id(j.endpoint)); };
     it.finished = [s, id](double now, const job& j, core::attempt_result r)
-    { s->selectors[j.instance]->finished(at(now), id(j.endpoint), r); };
+    { s->selectors[j.instance]->finished(time_at(now), id(j.endpoint), r); };
     it.first_token = [s, id](double now, const job& j)
     {
         if (!j.quick)
@@ -124,12 +126,12 @@
     return it;
 }
 
-chooser round_robin_chooser(std::uint64_t)
+selection_policy round_robin_policy(std::uint64_t)
 {
     auto next = std::make_shared<std::vector<int>>(instances);
     for (int n = 0; n < instances; ++n)
         (*next)[n] = n * endpoints / instances;
-    chooser it;
+    selection_policy it;
     it.pick = [next](double, const job& j) { return (*next)[j.instance]++ % endpoints; };
     it.started = [](const job&) {};
     it.finished = [](double, const job&, core::attempt_result) {};
@@ -137,7 +139,7 @@
     return it;
 }
 
-chooser least_in_flight_chooser(std::uint64_t seed)
+selection_policy least_in_flight_policy(std::uint64_t seed)
 {
     struct state
     {
@@ -147,16 +149,16 @@
     };
     auto s = std::make_shared<state>();
     s->random.seed(seed);
-    chooser it;
+    selection_policy it;
     it.pick = [s](double, const job& j)
     {
-        const auto& mine = s->in_flight[j.instance];
-        const int low = *std::min_element(mine.begin(), mine.end());
-        std::vector<int> best;
+        const auto& in_flight = s->in_flight[j.instance];
+        const int lowest = *std::min_element(in_flight.begin(), in_flight.end());
+        std::vector<int> candidates;
         for (int n = 0; n < endpoints; ++n)
-            if (mine[n] == low)
-                best.push_back(n);
-        return best[s->random() % best.size()];
+            if (in_flight[n] == lowest)
+                candidates.push_back(n);
+        return candidates[s->random() % candidates.size()];
     };
     it.started = [s](const job& j) { ++s->in_flight[j.instance][j.endpoint]; };
     it.finished = [s](double, const job& j, core::attempt_result) { --s->in_flight[j.instance][j.endpoint]; };
@@ -164,31 +166,32 @@
     return it;
 }
 
+/// Times from arrival to the first token, in seconds.
 struct result
 {
     std::vector<double> first_token;
     std::vector<double> quick;
 };
 
-/// Open-loop arrivals at seven instances; whoever finds no endpoint waits at its instance, first come first
-/// served.
+/// Simulates open-loop arrivals at seven instances. A job for which the policy picks no endpoint waits at its
+/// instance in first-in, first-out order; quick jobs wait in a separate queue that is served first.
 class simulation
 {
 public:
-    simulation(const scenario& s, chooser c, std::uint64_t seed)
-        : scenario_{s}, chooser_{std::move(c)}, random_{seed}
+    simulation(const scenario& s, selection_policy policy, std::uint64_t seed)
+        : scenario_{s}, policy_{std::move(policy)}, random_{seed}
     {
-        for (int n = 0; n < s.slow; ++n)
-            speed_[n] = 0.25;
+        for (int n = 0; n < s.slow_endpoints; ++n)
+            relative_speed_[n] = 0.25;
     }
 
     result run()
     {
         const double mean = (1 - quick_share) * mean_service_s + quick_share * quick_service_s;
-        const double rate = scenario_.load * endpoints * slots / mean;
+        const double rate = scenario_.load * endpoints * slots_per_endpoint / mean;
         schedule_arrival(rate);
         schedule(poll_interval_s, [this] { poll(); });
-        while (!events_.empty() && events_.begin()->first < length_s)
+        while (!events_.empty() && events_.begin()->first < simulation_length_s)
         {
             now_ = events_.begin()->first;
             const auto action = std::move(events_.begin()->second);
@@ -212,7 +215,7 @@
     double exponential(double mean) { return std::exponential_distribution<double>{1 / mean}(random_); }
     bool is_lost(int e) const
     {
-        return scenario_.domain_lost && e % 3 == 0 && now_ > (warm_up_s + length_s) / 2;
+        return scenario_.domain_lost && e % 3 == 0 && now_ > (warm_up_s + simulation_length_s) / 2;
     }
 
     void schedule_arrival(double rate)
@@ -225,23 +228,23 @@
                      it->quick = std::uniform_real_distribution<double>{}(random_) < quick_share;
                      it->service = it->quick ? quick_service_s : exponential(mean_service_s);
                      it->instance = static_cast<int>(random_() % instances);
-                     place(it);
+                     dispatch(it);
                      schedule_arrival(rate);
                  });
     }
 
-    void place(const job_ptr& it)
+    void dispatch(const job_ptr& it)
     {
-        it->endpoint = chooser_.pick(now_, *it);
+        it->endpoint = policy_.pick(now_, *it);
         if (it->endpoint < 0)
             return (it->quick ? quick_waiting_ : waiting_)[it->instance].push_back(it);
-        chooser_.started(*it);
+        policy_.started(*it);
         if (is_lost(it->endpoint))
             return schedule(0.005,
                             [this, it]
                             {
-                                chooser_.finished(now_, *it, core::attempt_result::lost);
-                                place(it);
+                                policy_.finished(now_, *it, core::attempt_result::lost);
+                                dispatch(it);
                             });
         servers_[it->endpoint].queue.push_back(it);
         serve(it->endpoint);
@@ -250,31 +253,31 @@
     void serve(int e)
     {
         auto& s = servers_[e];
-        while (s.running < slots && !s.queue.empty())
+        while (s.running < slots_per_endpoint && !s.queue.empty())
         {
             const auto it = s.queue.front();
             s.queue.pop_front();
             ++s.running;
-            const double prefill = (it->quick ? 0.005 : prefill_s) / speed_[e];
+            const double prefill = (it->quick ? 0.005 : prefill_s) / relative_speed_[e];
             schedule(prefill,
                      [this, it]
                      {
-                         chooser_.first_token(now_, *it);
+                         policy_.first_token(now_, *it);
                          if (it->arrived > warm_up_s)
                              (it->quick ? out_.quick : out_.first_token).push_back(now_ - it->arrived);
                      });
-            schedule(std::max(prefill, it->service / speed_[e]),
+            schedule(std::max(prefill, it->service / relative_speed_[e]),
                      [this, it, e]
                      {
                          --servers_[e].running;
-                         chooser_.finished(now_, *it, core::attempt_result::answered);
+                         policy_.finished(now_, *it, core::attempt_result::answered);
                          serve(e);
-                         retry(it->instance);
+                         dispatch_waiting(it->instance);
                      });
         }
     }
 
-    void retry(int instance)
+    void dispatch_waiting(int instance)
     {
         for (auto* all : {&quick_waiting_, &waiting_})
         {
@@ -282,11 +285,11 @@
             while (!queue.empty())
             {
                 const auto it = queue.front();
-                const int e = chooser_.pick(now_, *it);
+                const int e = policy_.pick(now_, *it);
                 if (e < 0)
                     break;
                 queue.pop_front();
-                place(it);
+                dispatch(it);
             }
         }
     }
@@ -294,22 +297,23 @@
     void poll()
     {
         for (int n = 0; n < instances; ++n)
-            retry(n);
+            dispatch_waiting(n);
         schedule(poll_interval_s, [this] { poll(); });
     }
 
     scenario scenario_;
-    chooser chooser_;
+    selection_policy policy_;
     std::mt19937_64 random_;
     double now_ = 0;
     std::multimap<double, std::function<void()>> events_;
     std::vector<server> servers_ = std::vector<server>(endpoints);
-    std::vector<double> speed_ = std::vector<double>(endpoints, 1.0);
+    std::vector<double> relative_speed_ = std::vector<double>(endpoints, 1.0);
     std::map<int, std::deque<job_ptr>> waiting_;
     std::map<int, std::deque<job_ptr>> quick_waiting_;
     result out_;
 };
 
+/// The percentile `p` (0 to 1) of times in seconds, converted to milliseconds; -1 if there are none.
 double percentile(std::vector<double>& it, double p)
 {
     if (it.empty())
@@ -323,11 +327,11 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App cli{"Choice of an endpoint"};
+    CLI::App cli{"Compares endpoint selection policies"};
     std::string path;
     int seeds = 5;
     cli.add_option("--json", path, "Append the results to this file");
-    cli.add_option("--seeds", seeds, "Runs of each kind; the table shows their medians");
+    cli.add_option("--seeds", seeds, "Runs of each scenario and policy; the table shows their medians");
     CLI11_PARSE(cli, argc, argv);
     const scenario scenarios[] = {{"50 %", 0.5},
                                   {"80 %", 0.8},
@@ -338,20 +342,20 @@
     const struct
     {
         const char* name;
-        std::function<chooser(std::uint64_t)> make;
-    } choosers[] = {{"runlink", runlink_chooser},
-                    {"least in flight", least_in_flight_chooser},
-                    {"round robin", round_robin_chooser}};
+        std::function<selection_policy(std::uint64_t)> make;
+    } policies[] = {{"runlink", runlink_policy},
+                    {"least in flight", least_in_flight_policy},
+                    {"round robin", round_robin_policy}};
     report out{{"load", "policy", "first token p50 ms", "p95", "p99", "quick p50 ms", "p95", "p99 spread"}};
     for (const auto& s : scenarios)
-        for (const auto& c : choosers)
+        for (const auto& policy : policies)
         {
             std::vector<std::vector<double>> columns(6);
             for (int seed = 0; seed < seeds; ++seed)
             {
-                auto r =
-                    simulation{s, c.make(static_cast<std::uint64_t>(seed)), static_cast<std::uint64_t>(seed)}
-                        .run();
+                auto r = simulation{s, policy.make(static_cast<std::uint64_t>(seed)),
+                                    static_cast<std::uint64_t>(seed)}
+                             .run();
                 const double cells[] = {percentile(r.first_token, 0.5),  percentile(r.first_token, 0.95),
                                         percentile(r.first_token, 0.99), percentile(r.quick, 0.5),
                                         percentile(r.quick, 0.95),       percentile(r.quick, 0.99)};
@@ -363,7 +367,7 @@
             const auto median = [&](std::size_t n) { return columns[n][columns[n].size() / 2]; };
             const auto spread = std::to_string(static_cast<int>(columns[5].front())) + "-" +
                                 std::to_string(static_cast<int>(columns[5].back()));
-            out.add({s.name, c.name, median(0), median(1), median(2), median(3), median(4), spread});
+            out.add_row({s.name, policy.name, median(0), median(1), median(2), median(3), median(4), spread});
         }
     out.finish("20 endpoints of 8 slots, 7 instances, " + std::to_string(seeds) + " seeds", path);
 }
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,5 +1,5 @@
-// Measures how processor time, memory and message sizes of the decisions grow with the number of entries.
-// The figures of docs/CAPACITY.md come from here.
+// Measures how processor time, memory use and message sizes grow with the number of members, endpoints and
+// ledger records. docs/CAPACITY.md quotes the figures that this program prints.
 
 #include <chrono>
 #include <malloc.h>
@@ -20,8 +20,8 @@
 using namespace runlink::bench;
 using steady = std::chrono::steady_clock;
 
-/// A least-squares line through the measured points.
-struct line
+/// Fits a line to the measured points by least squares.
+struct linear_fit
 {
     double sum_x = 0;
     double sum_y = 0;
@@ -41,29 +41,31 @@
     double at(double x) const { return (sum_y - slope() * sum_x) / n + slope() * x; }
 };
 
+/// Bytes that the process has allocated on the heap.
 double bytes_in_use()
 {
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/// Microseconds of one call, the median of several rounds.
+/// The duration of one call in microseconds: each round averages over `calls` calls, and the result is the
+/// median of the rounds. `action` receives the number of the call.
 template <class Action>
-double microseconds_of(int calls, Action action)
+double median_call_us(int calls, Action action)
 {
     constexpr int rounds = 7;
-    std::vector<double> took;
+    std::vector<double> rounds_us;
     for (int r = 0; r < rounds; ++r)
     {
         const auto begin = steady::now();
         for (int n = 0; n < calls; ++n)
             action(n);
-        took.push_back(std::chrono::duration<double, std::micro>(steady::now() - begin).count() / calls);
+        rounds_us.push_back(std::chrono::duration<double, std::micro>(steady::now() - begin).count() / calls);
     }
-    std::sort(took.begin(), took.end());
-    return took[rounds / 2];
+    std::sort(rounds_us.begin(), rounds_us.end());
+    return rounds_us[rounds / 2];
 }
 
-core::member_info member(int n)
+core::member_info make_member(int n)
 {
     const auto text = std::to_string(n);
     return {core::instance_id{"instance-" + text}, core::incarnation_id{"0123456789ab" + text},
@@ -71,13 +73,13 @@
             "10.0." + std::to_string(n / 250) + ".7:7100"};
 }
 
-core::heartbeat beat_of(int members, int versions)
+core::heartbeat make_heartbeat(int members, int versions)
 {
     core::heartbeat it;
     it.ready = true;
     it.revision = core::config_revision{790};
     for (int n = 0; n < members; ++n)
-        it.members.push_back(member(n));
+        it.members.push_back(make_member(n));
     for (int n = 0; n < versions; ++n)
         it.versions.push_back({{core::model_id{"model-" + std::to_string(n)}, core::version_id{"version-1"}},
                                100000,
@@ -88,7 +90,7 @@
     return it;
 }
 
-core::configuration configuration_of(int endpoints)
+core::configuration make_configuration(int endpoints)
 {
     core::configuration it;
     it.deployment = "d";
@@ -109,62 +111,63 @@
     return it;
 }
 
-void heartbeats(const std::string& path)
+void measure_heartbeats(const std::string& path)
 {
     report out{{"members", "bytes", "encode µs", "decode µs", "take in µs", "owner of 64 µs"}};
-    line bytes;
-    line micros;
+    linear_fit bytes;
+    linear_fit cost_us;
     for (const int n : {7, 20, 50, 100, 200, 350})
     {
-        const core::peer_envelope envelope{"d", member(0), beat_of(n, 24)};
+        const core::peer_envelope envelope{"d", make_member(0), make_heartbeat(n, 24)};
         const auto wire = proto::encode(envelope);
-        const double encode = microseconds_of(200, [&](int) { (void)proto::encode(envelope); });
-        const double decode = microseconds_of(200, [&](int) { (void)proto::decode(wire); });
-        core::membership view{member(0), {}};
+        const double encode_us = median_call_us(200, [&](int) { (void)proto::encode(envelope); });
+        const double decode_us = median_call_us(200, [&](int) { (void)proto::decode(wire); });
+        core::membership view{make_member(0), {}};
         for (int k = 1; k < n; ++k)
-            view.on_heartbeat({}, member(k), beat_of(n, 24));
-        const auto it = beat_of(n, 24);
-        const double take =
-            microseconds_of(100, [&](int k) { view.on_heartbeat({}, member(1 + k % (n - 1)), it); });
-        const double owner = microseconds_of(5,
-                                             [&](int k)
-                                             {
-                                                 view.set_self_state(k % 2 == 0, false);
-                                                 for (std::uint64_t p = 0; p < 64; ++p)
-                                                     (void)view.owner_of(core::partition_id{p});
-                                             });
+            view.on_heartbeat({}, make_member(k), make_heartbeat(n, 24));
+        const auto it = make_heartbeat(n, 24);
+        const double on_heartbeat_us =
+            median_call_us(100, [&](int k) { view.on_heartbeat({}, make_member(1 + k % (n - 1)), it); });
+        const double owner_us = median_call_us(5,
+                                               [&](int k)
+                                               {
+                                                   view.set_self_state(k % 2 == 0, false);
+                                                   for (std::uint64_t p = 0; p < 64; ++p)
+                                                       (void)view.owner_of(core::partition_id{p});
+                                               });
         bytes.add(n, static_cast<double>(wire.size()));
-        micros.add(n, encode + decode + take);
-        out.add({n, wire.size(), encode, decode, take, owner});
+        cost_us.add(n, encode_us + decode_us + on_heartbeat_us);
+        out.add_row({n, wire.size(), encode_us, decode_us, on_heartbeat_us, owner_us});
     }
     out.finish("heartbeat with 24 versions, by members; slope " + std::to_string(bytes.slope()) +
-                   " bytes and " + std::to_string(micros.slope()) + " µs a member",
+                   " bytes and " + std::to_string(cost_us.slope()) + " µs a member",
                path);
 }
 
-void selection(const std::string& path)
+void measure_selection(const std::string& path)
 {
     report out{{"endpoints", "pick µs", "capacity µs", "bytes an endpoint"}};
-    line micros;
+    linear_fit cost_us;
     for (const int n : {10, 50, 100, 200, 400, 800, 1200})
     {
         const auto before = bytes_in_use();
-        const auto configuration = std::make_shared<const core::configuration>(configuration_of(n));
+        const auto configuration = std::make_shared<const core::configuration>(make_configuration(n));
         const double bytes = (bytes_in_use() - before) / n;
         std::mt19937_64 random{1};
         core::endpoint_selector it{{}, [](const core::endpoint_id&) { return false; }, random};
         it.apply(configuration);
         core::endpoint_demand demand;
         demand.version = configuration->pools[0].endpoints[0].versions[0];
-        const double pick = microseconds_of(500, [&](int) { (void)it.pick({}, demand); });
-        const double capacity = microseconds_of(500, [&](int) { (void)it.capacity({}, demand); });
-        micros.add(n, pick);
-        out.add({n, pick, capacity, bytes});
+        const double pick = median_call_us(500, [&](int) { (void)it.pick({}, demand); });
+        const double capacity = median_call_us(500, [&](int) { (void)it.capacity({}, demand); });
+        cost_us.add(n, pick);
+        out.add_row({n, pick, capacity, bytes});
     }
-    out.finish("choice of an endpoint; slope " + std::to_string(micros.slope()) + " µs an endpoint", path);
+    out.finish("choice of an endpoint; slope " + std::to_string(cost_us.slope()) + " µs an endpoint", path);
 }
 
-core::store_port instant_store(std::map<std::string, core::store_value>& values)
+/// A store that answers at once. It reads from `values`; writes succeed but are not kept.
+core::store_port make_instant_store(std::map<std::string, core::store_value>& values)
 {
     core::store_port it;
     it.get = [&values](const std::string& key, const core::store_read_handler& handler)
@@ -180,7 +183,7 @@
     return it;
 }
 
-core::ledger_entry settlement(int n, std::size_t answer)
+core::ledger_entry make_settlement(int n, std::size_t answer)
 {
     core::ledger_entry it;
     it.kind = core::entry_kind::settle;
@@ -196,19 +199,17 @@
     return it;
 }
 
-void ledger(const std::string& path)
+void measure_ledger(const std::string& path)
 {
     report out{{"records", "answer bytes", "settle µs", "bytes a record", "stored bytes an entry"}};
     for (const std::size_t answer : {std::size_t{0}, std::size_t{2048}})
         for (const int n : {1000, 5000, 20000})
         {
             std::map<std::string, core::store_value> values;
-            core::ledger_hooks hooks{instant_store(values),
-                                     proto::make_ledger_codec(),
-                                     [] { return core::wall_time{1}; },
-                                     [](const core::incarnation_id&) { return true; },
-                                     [] { return core::batch_id{"b"}; },
-                                     [](core::time_point) { return true; }};
+            core::ledger_hooks hooks{
+                make_instant_store(values),         proto::make_ledger_codec(),
+                [] { return core::wall_time{1}; },  [](const core::incarnation_id&) { return true; },
+                [] { return core::batch_id{"b"}; }, [](core::time_point) { return true; }};
             core::ledger_options options;
             options.checkpoint_every = 1'000'000'000;
             core::ledger_partition it{core::partition_id{0}, core::incarnation_id{"a"}, options, hooks};
@@ -216,23 +217,23 @@
             const auto before = bytes_in_use();
             const auto begin = steady::now();
             for (int k = 0; k < n; ++k)
-                it.submit({}, settlement(k, answer), [](const core::ledger_reply&) {});
-            const double micros =
+                it.submit({}, make_settlement(k, answer), [](const core::ledger_reply&) {});
+            const double cost_us =
                 std::chrono::duration<double, std::micro>(steady::now() - begin).count() / n;
             core::ledger_segment segment;
-            segment.entries = {settlement(1, answer)};
+            segment.entries = {make_settlement(1, answer)};
             const auto stored = hooks.codec.encode_segment(segment).size();
-            out.add({n, answer, micros, (bytes_in_use() - before) / n, stored});
+            out.add_row({n, answer, cost_us, (bytes_in_use() - before) / n, stored});
         }
     out.finish("ledger partition: one write for each settlement", path);
 }
 
-void configurations(const std::string& path)
+void measure_configurations(const std::string& path)
 {
     report out{{"endpoints", "document bytes", "parse ms", "print ms"}};
     for (const int n : {10, 100, 400, 1200})
     {
-        auto it = configuration_of(n);
+        auto it = make_configuration(n);
         for (int m = 0; m < 12; ++m)
         {
             core::model_settings model;
@@ -246,9 +247,9 @@
             it.models.push_back(model);
         }
         const auto text = print_configuration(it);
-        const double parse = microseconds_of(3, [&](int) { (void)core::parse_configuration(text).value(); });
-        const double print = microseconds_of(3, [&](int) { (void)print_configuration(it); });
-        out.add({n, text.size(), parse / 1000, print / 1000});
+        const double parse = median_call_us(3, [&](int) { (void)core::parse_configuration(text).value(); });
+        const double print = median_call_us(3, [&](int) { (void)print_configuration(it); });
+        out.add_row({n, text.size(), parse / 1000, print / 1000});
     }
     out.finish("configuration document", path);
 }
@@ -257,12 +258,12 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App cli{"Slopes of the decisions' costs"};
+    CLI::App cli{"Measures how processor time, memory use and message sizes grow with the number of entries"};
     std::string path;
     cli.add_option("--json", path, "Append the results to this file");
     CLI11_PARSE(cli, argc, argv);
-    heartbeats(path);
-    selection(path);
-    ledger(path);
-    configurations(path);
+    measure_heartbeats(path);
+    measure_selection(path);
+    measure_ledger(path);
+    measure_configurations(path);
 }
