--- a/include/runlink/control/relay.hpp
+++ b/include/runlink/control/relay.hpp
@@ -249,7 +249,7 @@
     time_point next_heartbeat_{};
     bool direct_ = false;           ///< the store is not followed before the first choice
     std::size_t first_source_ = 0;  ///< index of the source that is asked first
-    std::size_t sources_tried_ = 0; ///< sources that gave no valid proof in this round
+    std::size_t sources_tried_ = 0; ///< sources that gave no valid proof (see top of file) in this round
     std::uint64_t rounds_ = 0;
     std::uint32_t rounds_without_proof_ = 0; ///< consecutive rounds in which no source had a proof
     std::uint32_t mismatches_ = 0;           ///< consecutive replies that prove another configuration
--- a/include/runlink/core/order_holder.hpp
+++ b/include/runlink/core/order_holder.hpp
@@ -23,7 +23,7 @@
 {
     endpoint_id endpoint;
     version_ref version;
-    bool load = true; ///< false: unload
+    bool load = true; ///< true: load the version; false: unload it
     fencing_number fencing{};
 
     friend bool operator==(const endpoint_order&, const endpoint_order&) = default;
--- a/include/runlink/core/rate_limiter.hpp
+++ b/include/runlink/core/rate_limiter.hpp
@@ -25,7 +25,7 @@
 
     double rate_;
     double burst_;
-    double tokens_;
+    double tokens_; ///< tokens in the bucket; each admits one event
     time_point last_{};
 };
 
--- a/include/runlink/core/version_guard.hpp
+++ b/include/runlink/core/version_guard.hpp
@@ -46,9 +46,9 @@
     std::array<double, 4> sums_{};
 };
 
-/// The version guard of one instance. It adds up the counts of all instances. Its share of the window of a
-/// version that is rolled out is the window divided by the number of live instances. Stopping a version takes
-/// effect locally at once and only rejects requests.
+/// The version guard of one instance. It adds up the counts of all instances. The window limits the unrated
+/// answers of a version that is rolled out; each live instance may have an equal share of it, at least one.
+/// Stopping a version takes effect locally at once; it only makes `admits` reject new sessions and requests.
 class version_guard
 {
 public:
--- a/include/runlink/crashes/crash_attribution.hpp
+++ b/include/runlink/crashes/crash_attribution.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the request that crashes endpoints among all requests that ran on them when they ended.
+/// Finds the request that crashes endpoints among all requests that were running on them at that time.
 #pragma once
 
 #include <chrono>
@@ -24,7 +24,7 @@
 using core::milliseconds;
 using core::time_point;
 
-/// Parameters of the attribution.
+/// Parameters for attributing endpoint crashes to the requests that caused them.
 struct attribution_options
 {
     /// Number of endpoints that have to end while they run a request before it is suspected. A suspected
@@ -43,10 +43,11 @@
     /// Number of inconclusive trials after which a request counts as harmful, because each trial may have
     /// cost an endpoint.
     std::uint32_t max_trials = 4;
-    /// Minimum expected time between false findings of one instance, given its number of requests and the
-    /// recent rate at which endpoints end. A trial finds a request harmful only if this bound holds. Where
-    /// endpoints come and go, a long stream is interrupted several times by chance. Among many requests, some
-    /// are interrupted as often as is very unlikely for any single one. Many instances decide independently.
+    /// Minimum expected time between false positives (harmless requests marked as harmful) of one instance,
+    /// given its number of requests and the recent rate at which endpoints end. A trial marks a request as
+    /// harmful only if this bound holds. Chance alone interrupts a long stream several times where endpoints
+    /// come and go, and among many requests it interrupts some as often as would be very unlikely for a
+    /// given one. The bound is per instance, and many instances decide independently.
     std::chrono::hours false_positive_interval{2400};
     /// A broken connection counts as the end of its endpoint only if that end is confirmed within this time.
     milliseconds end_confirmation_timeout{1500};
--- a/include/runlink/places/advertised_limits.hpp
+++ b/include/runlink/places/advertised_limits.hpp
@@ -34,11 +34,11 @@
     std::size_t base_senders = 3;
     /// Upper bound of the senders of one endpoint, because each reports to all others.
     std::size_t max_senders = 32;
-    /// Interval of a sender's reports to the other senders.
+    /// Interval at which a sender of an endpoint reports to its other senders.
     milliseconds report_interval{500};
     /// After this long without a report of a sender, its equal part of the rate stays reserved for it.
     milliseconds peer_timeout{1600};
-    /// Interval of the first sender's reports to all instances.
+    /// Interval at which the highest-ranked sender of an endpoint reports its limit to all instances.
     milliseconds broadcast_interval{2000};
     /// How long the end of a limit is reported again, to instances that may have missed it.
     milliseconds ended_limit_retention{10'000};
--- a/include/runlink/routing/rollout_schedule.hpp
+++ b/include/runlink/routing/rollout_schedule.hpp
@@ -29,7 +29,7 @@
     /// by another instance if the first is lost.
     core::milliseconds reserve{900};
     double most_reserve_fraction = 0.05; ///< limit of `reserve` as a fraction of the roll-out time
-    /// Time between the last step and the declaration, in which old endpoints finish their work.
+    /// Time between the last step and declaring the version good, in which old endpoints finish their work.
     core::milliseconds least_overlap{500};
     /// Share of a service's requests that a faulty version may get over the whole roll-out. It limits every
     /// version, since an undetected fault is never rolled back.
@@ -68,7 +68,7 @@
     /// Length of the last part, in which the share grows to all requests.
     core::milliseconds last_part(core::milliseconds allowed) const;
     /// Whether one more request may go to the new version, given the requests sent to it and in total. Leaves
-    /// room for the requests between the declaration and the deadline.
+    /// room for the requests between declaring the version good and the deadline.
     bool may_expose(core::milliseconds allowed, std::uint64_t to_new_version, std::uint64_t all) const;
 
 private:
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -21,7 +21,8 @@
 constexpr milliseconds start_patience{8000}; ///< a busy machine starts processes slowly
 /// An instance is taken to have read a request if it was sent more than this before the connection closed.
 constexpr milliseconds read_slack{200};
-constexpr milliseconds left_check{1000}; ///< from the close by a caller to the check of its request
+/// Time from when a caller closes its connection to the check that its request no longer runs.
+constexpr milliseconds closed_call_check_delay{1000};
 constexpr milliseconds deadline_slack{
     100}; ///< an instance may reach the deadline this much earlier than the caller
 
@@ -219,7 +220,7 @@
 {
     checker_.ended(of.id, it);
     if (it.caller_closed)
-        schedule(left_check, [this, id = of.id] { checker_.check_left(now(), id); });
+        schedule(closed_call_check_delay, [this, id = of.id] { checker_.check_left(now(), id); });
     const auto allowed = std::min(of.deadline, fleet_.options().stream_timeout);
     if (options_.pauses && checker_.check_cut(now(), of.id, it, allowed))
     {
--- a/soak/scenario.hpp
+++ b/soak/scenario.hpp
@@ -32,7 +32,7 @@
     bool pauses = false;
     /// Starts a roll-out at the beginning, of a version chosen by the seed (see `rollout_trial`).
     bool rolls_out = false;
-    /// No faults, only load and the roll-out if there is one.
+    /// Injects no random faults; load, roll-outs and harmful requests run as the other options say.
     bool is_quiet = false;
     /// Number of callers that repeatedly send, to random instances, a request that ends each endpoint that
     /// runs it.
--- a/soak/statement_series.cpp
+++ b/soak/statement_series.cpp
@@ -57,12 +57,12 @@
 {
     const auto limit = static_cast<double>(random_() % limit_steps) * step;
     it.server.says.requests_per_s = limit;
-    on_said_(it.server.id() + " names a limit of " + std::to_string(limit));
+    on_said_(it.server.id() + " advertises a limit of " + std::to_string(limit));
     QTimer::singleShot(pick_time(min_limit_ms, max_limit_ms), &context_,
                        [this, &it]
                        {
                            it.server.says.requests_per_s.reset();
-                           on_said_(it.server.id() + " names no limit");
+                           on_said_(it.server.id() + " no longer advertises a limit");
                        });
 }
 
@@ -70,7 +70,7 @@
 {
     fleet_.add_endpoint(it.server.service(), "v1");
     it.server.says.is_leaving = true;
-    on_said_(it.server.id() + " says that it leaves");
+    on_said_(it.server.id() + " announces its departure");
     QTimer::singleShot(pick_time(min_announcement_ms, max_announcement_ms), &context_,
                        [this, &it] { fleet_.set_leaving(it); });
 }
@@ -78,12 +78,12 @@
 void statement_series::want_rest(proxied_endpoint& it)
 {
     it.server.says.rest = pick_time(min_rest_ms, max_rest_ms);
-    on_said_(it.server.id() + " wants rest");
+    on_said_(it.server.id() + " requests a rest period");
     QTimer::singleShot(pick_time(min_limit_ms, max_limit_ms), &context_,
                        [this, &it]
                        {
                            it.server.says.rest.reset();
-                           on_said_(it.server.id() + " wants no rest");
+                           on_said_(it.server.id() + " no longer requests a rest period");
                        });
 }
 
--- a/src/runlink/routing/placement_test.cpp
+++ b/src/runlink/routing/placement_test.cpp
@@ -85,7 +85,7 @@
     /// Sends a prompt through an instance, whose announcement reaches its peers at once.
     chosen send(time_point now, std::size_t instance, const prompt_need& prompt)
     {
-        settle(now);
+        deliver_started_answers(now);
         endpoint_need need;
         need.service = core::service_id{"s"};
         need.prompt = prompt;
@@ -107,8 +107,8 @@
         return {to->id, engine.free_at - now};
     }
 
-    /// Delivers the answers that have begun to the instances.
-    void settle(time_point now)
+    /// Informs the instances of all answers whose first byte was due by `now`.
+    void deliver_started_answers(time_point now)
     {
         for (const auto& it : reads)
             for (std::size_t n = 0; n < choosers.size() && it.done <= now; ++n)
--- a/tests/support/crash_fleet.hpp
+++ b/tests/support/crash_fleet.hpp
@@ -40,7 +40,7 @@
     milliseconds survives{115};
 
     double popular_share = 0;   ///< share of the requests that have identical content and one client account
-    double ends_per_s = 0;      ///< rate of endpoint ends that no request causes
+    double ends_per_s = 0;      ///< rate of endpoint crashes that no request causes
     milliseconds all_end_at{0}; ///< when half of the endpoints end at once; 0: never
     milliseconds power_loss_at{0};    ///< when one failure domain stops responding; 0: never
     double resets_per_s = 0;          ///< rate at which the connections of a running endpoint break
@@ -52,7 +52,7 @@
 /// Counts of what the endpoints and callers observed.
 struct crash_outcome
 {
-    std::uint64_t ended = 0; ///< endpoint ends caused by harmful requests
+    std::uint64_t ended = 0; ///< number of endpoint crashes caused by harmful requests
     std::uint64_t sends = 0; ///< harmful requests that reached endpoints
     std::uint64_t late = 0;  ///< of these, sent after every connected instance should know of the third end
     std::uint64_t asked = 0; ///< harmless requests
--- a/tests/support/rollout_fleet.hpp
+++ b/tests/support/rollout_fleet.hpp
@@ -55,10 +55,10 @@
 /// Counts of what the endpoints observed, and the result of the roll-out.
 struct rollout_outcome
 {
-    std::uint64_t requests = 0; ///< sends between the order and its deadline
-    std::uint64_t exposed = 0;  ///< of these, sends to the new version
+    std::uint64_t requests = 0; ///< requests sent to endpoints between the roll-out order and its deadline
+    std::uint64_t exposed = 0;  ///< of these, requests sent to the new version
     std::uint64_t bad = 0;      ///< bad answers of the new version
-    std::uint64_t late = 0;     ///< sends to it more than 5 s after its 50th bad answer
+    std::uint64_t late = 0;     ///< requests sent to it more than 5 s after its 50th bad answer
     std::uint64_t unserved = 0; ///< requests without an answer
     /// Requests sent to the new version in the first half of the roll-out although the previous request of
     /// their session ran on the old version and ended less than the session TTL earlier.
--- a/tests/support/statement_fleet.hpp
+++ b/tests/support/statement_fleet.hpp
@@ -129,6 +129,7 @@
     /// Sends one datagram to every other addressed instance; drops the share `datagrams_lost`.
     void send_datagram(int from, const std::function<bool(int)>& is_addressed,
                        const std::function<void(routing::request_forwarder&)>& to);
+    /// Moves the violations found by `record_` to `outcome_`.
     void take_faults();
     void refuse(int n, const attempt_ptr& it);
     milliseconds up_to(milliseconds most);
--- a/tests/support/suspension_signal.hpp
+++ b/tests/support/suspension_signal.hpp
@@ -9,7 +9,7 @@
 
 inline int suspension_signal()
 {
-    constexpr int offset = 7;
+    constexpr int offset = 7; // above `SIGRTMIN`, the first real-time signal
     return SIGRTMIN + offset;
 }
 
