--- a/include/runlink/crashes/crash_attribution.hpp
+++ b/include/runlink/crashes/crash_attribution.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the request that crashes endpoints among all requests that were running on them at that time.
+/// Finds the request that crashes endpoints among all requests that were running on them when they ended.
 #pragma once
 
 #include <chrono>
